--- a/admit/admit.go
+++ b/admission/admission.go
@@ -1,10 +1,10 @@
-// Package admit decides, before anything costs much, which calls of which client may come in: set-ups a second and open calls
+// Package admission decides, before anything costs much, which calls of which client may come in: set-ups a second and open calls
 // for each client and for all, shared fairly between clients when the whole is short. It does no I/O and reads no clock; it
 // says what it kept and why.
 //
 // The limits are the operators'. What calls a controller can serve is the module's to find out; this is the door in front of
 // it, so that one client's flood costs that client, and the others the least.
-package admit
+package admission
 
 import (
 	"math"
--- a/bench/open.go
+++ b/bench/open.go
@@ -6,26 +6,26 @@
 	"io"
 	"time"
 
+	"github.com/umbergauge/umbergauge/emulator"
+	"github.com/umbergauge/umbergauge/emulator/switchset"
 	"github.com/umbergauge/umbergauge/internal/config"
 	"github.com/umbergauge/umbergauge/load"
-	"github.com/umbergauge/umbergauge/standin"
-	"github.com/umbergauge/umbergauge/standin/serve"
 )
 
 // OpenCase is one controller in front of far exchanges that are well: what it carries should be bounded by their
 // processors and circuits alone.
 type OpenCase struct {
-	Name     string        `json:"name"`
-	Far      int           `json:"far"`
-	Rate     float64       `json:"rate"`   // calls a second offered
-	Answer   time.Duration `json:"answer"` // the way there and back
-	Ring     time.Duration `json:"ring"`   // from ACM to ANM
-	Thin     serve.Thin    `json:"thin"`
-	Each     float64       `json:"each"`     // set-ups a second that each far processor can take; 0: any number
-	Circuits int           `json:"circuits"` // of each group; 0: all that a group can have
-	Aim      time.Duration `json:"aim"`
-	Patience time.Duration `json:"patience"`
-	Span     time.Duration `json:"span"`
+	Name     string         `json:"name"`
+	Far      int            `json:"far"`
+	Rate     float64        `json:"rate"`   // calls a second offered
+	Answer   time.Duration  `json:"answer"` // the way there and back
+	Ring     time.Duration  `json:"ring"`   // from ACM to ANM
+	Thin     switchset.Thin `json:"thin"`
+	Each     float64        `json:"each"`     // set-ups a second that each far processor can take; 0: any number
+	Circuits int            `json:"circuits"` // of each group; 0: all that a group can have
+	Aim      time.Duration  `json:"aim"`
+	Patience time.Duration  `json:"patience"`
+	Span     time.Duration  `json:"span"`
 }
 
 // OpenResult is what became of a case.
@@ -47,7 +47,7 @@
 
 // OpenTable are the cases of a user's first trial: three far exchanges, nothing loaded.
 func OpenTable(span time.Duration) []OpenCase {
-	c := func(name string, rate float64, ring time.Duration, thin serve.Thin) OpenCase {
+	c := func(name string, rate float64, ring time.Duration, thin switchset.Thin) OpenCase {
 		x := OpenCase{Name: name, Far: 3, Rate: rate, Answer: 20 * time.Millisecond, Ring: ring, Thin: thin, Span: span}
 		if ring >= 5*time.Second {
 			x.Aim, x.Patience = 20*time.Second, 60*time.Second
@@ -55,13 +55,13 @@
 		return x
 	}
 	return []OpenCase{
-		c("150/s", 150, 0, serve.Thin{}), c("600/s", 600, 0, serve.Thin{}),
-		c("50/s, rings 1 s", 50, time.Second, serve.Thin{}), c("50/s, rings 8 s", 50, 8*time.Second, serve.Thin{}),
-		c("150/s, 1% full", 150, 0, serve.Thin{Full: 0.01}), c("150/s, 5% full", 150, 0, serve.Thin{Full: 0.05}),
-		c("150/s, 10% full", 150, 0, serve.Thin{Full: 0.1}),
-		c("150/s, 3% unanswered", 150, 0, serve.Thin{Silent: 0.03}), c("150/s, 10% unanswered", 150, 0, serve.Thin{Silent: 0.1}),
-		c("150/s, 3% reset", 150, 0, serve.Thin{Reset: 0.03}), c("150/s, 10% reset", 150, 0, serve.Thin{Reset: 0.1}),
-		c("150/s, 20% failed (41)", 150, 0, serve.Thin{Failed: 0.2}),
+		c("150/s", 150, 0, switchset.Thin{}), c("600/s", 600, 0, switchset.Thin{}),
+		c("50/s, rings 1 s", 50, time.Second, switchset.Thin{}), c("50/s, rings 8 s", 50, 8*time.Second, switchset.Thin{}),
+		c("150/s, 1% full", 150, 0, switchset.Thin{Full: 0.01}), c("150/s, 5% full", 150, 0, switchset.Thin{Full: 0.05}),
+		c("150/s, 10% full", 150, 0, switchset.Thin{Full: 0.1}),
+		c("150/s, 3% unanswered", 150, 0, switchset.Thin{Silent: 0.03}), c("150/s, 10% unanswered", 150, 0, switchset.Thin{Silent: 0.1}),
+		c("150/s, 3% reset", 150, 0, switchset.Thin{Reset: 0.03}), c("150/s, 10% reset", 150, 0, switchset.Thin{Reset: 0.1}),
+		c("150/s, 20% failed (41)", 150, 0, switchset.Thin{Failed: 0.2}),
 	}
 }
 
@@ -103,25 +103,25 @@
 		o.Aim, o.Patience = 2*time.Second, 10*time.Second
 	}
 	res.OpenCase = o
-	sw := serve.Config{Seed: 1, Delay: o.Answer / 2}
+	sw := switchset.Config{Seed: 1, Delay: o.Answer / 2}
 	if o.Ring > 0 {
-		sw.Ringing = []serve.Class{{Category: 10, Ringing: standin.Ringing{Median: o.Ring}}}
+		sw.Ringing = []switchset.Class{{Category: 10, Ringing: emulator.Ringing{Median: o.Ring}}}
 	}
 	c := config.Default()
 	c.Exchange, c.Log.Level, c.Limits.Calls = selfPC, "error", 1_000_000
 	c.Timers.T7, c.Timers.T9 = 0, 0 // not written: older builds don't know them
 	c.Classes = []config.Class{{Name: "a", Aim: o.Aim, Patience: o.Patience, Worth: 1}}
 	var numbers []load.Numbers
-	own := serve.Switch{PointCode: selfPC, Listen: "127.0.0.1:0", Prefixes: []string{"8200"}, Circuits: map[uint32]int{}}
+	own := switchset.Switch{PointCode: selfPC, Listen: "127.0.0.1:0", Prefixes: []string{"8200"}, Circuits: map[uint32]int{}}
 	for i := range o.Far {
 		pc, prefix := uint32(firstFar+i), fmt.Sprintf("82%02d", i+1)
 		own.Circuits[pc] = o.Circuits
-		sw.Switches = append(sw.Switches, serve.Switch{PointCode: pc, Listen: "127.0.0.1:0", Prefixes: []string{prefix},
+		sw.Switches = append(sw.Switches, switchset.Switch{PointCode: pc, Listen: "127.0.0.1:0", Prefixes: []string{prefix},
 			Circuits: map[uint32]int{selfPC: o.Circuits}, Thin: o.Thin, Rate: o.Each, FullAfter: 2 * time.Second, RejectWork: 0.1})
 		numbers = append(numbers, load.Numbers{Prefix: prefix, Length: 10, Share: 1})
 	}
 	sw.Switches = append(sw.Switches, own)
-	set, err := serve.Start(&sw)
+	set, err := switchset.Start(&sw)
 	if err != nil {
 		return res, err
 	}
--- a/bench/soak.go
+++ b/bench/soak.go
@@ -13,12 +13,12 @@
 	"sync"
 	"time"
 
+	"github.com/umbergauge/umbergauge/emulator"
 	"github.com/umbergauge/umbergauge/internal/config"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/load"
 	"github.com/umbergauge/umbergauge/m3ua"
 	"github.com/umbergauge/umbergauge/record"
-	"github.com/umbergauge/umbergauge/standin"
 )
 
 // SoakOptions say how long and how hard one controller is run with faults around it.
@@ -59,9 +59,9 @@
 	var nd net.Dialer
 	log := record.New()
 	log.Discard()
-	sn := &standin.Net{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
+	sn := &emulator.Net{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
 		Dial: func(ctx context.Context, a string) (net.Conn, error) { return nd.DialContext(ctx, "tcp", a) }}
-	var switches []*standin.Switch
+	var switches []*emulator.Switch
 	defer func() {
 		for _, s := range switches {
 			s.Close()
@@ -85,12 +85,12 @@
 	for i := range o.Exchanges {
 		pc := uint32(selfPC + i)
 		prefix := fmt.Sprintf("82%02d", i)
-		s := standin.NewSwitch(sn, standin.SwitchConfig{PC: pc, Prefixes: []string{prefix}, Circuits: circuits, Seed: o.Seed + uint64(i),
+		s := emulator.NewSwitch(sn, emulator.SwitchConfig{PC: pc, Prefixes: []string{prefix}, Circuits: circuits, Seed: o.Seed + uint64(i),
 			Rate: 2 * o.Rate / float64(o.Exchanges-1), FollowWork: 0.3, RejectWork: 0.1, FullAfter: 2 * time.Second, HangUp: 0.3, Hold: 2 * time.Second,
 			ColdShare: 0.3, WarmUp: 15 * time.Second,
-			Ringing: map[isup.Category]standin.Ringing{10: {Median: time.Second, Spread: 0.5, NoAnswer: 0.02, Busy: 0.01}}})
-		s.Thin(standin.ThinFull, 0.01)
-		s.Thin(standin.ThinSilent, 0.01)
+			Ringing: map[isup.Category]emulator.Ringing{10: {Median: time.Second, Spread: 0.5, NoAnswer: 0.02, Busy: 0.01}}})
+		s.Thin(emulator.ThinFull, 0.01)
+		s.Thin(emulator.ThinSilent, 0.01)
 		switches = append(switches, s)
 		a, err := s.Start("127.0.0.1:0", false)
 		if err != nil {
--- a/cmd/umbergauge/day.go
+++ b/cmd/umbergauge/day.go
@@ -12,11 +12,11 @@
 	"github.com/spf13/cobra"
 
 	"github.com/umbergauge/umbergauge/check"
-	"github.com/umbergauge/umbergauge/day"
-	"github.com/umbergauge/umbergauge/day/plain"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/m3ua"
 	"github.com/umbergauge/umbergauge/record"
+	"github.com/umbergauge/umbergauge/scenario"
+	"github.com/umbergauge/umbergauge/scenario/baseline"
 )
 
 // Sockets and goroutines of a whole fleet on one machine are late now and then: what the checker allows for, and what
@@ -51,7 +51,7 @@
 				_, err = cmd.OutOrStdout().Write(b)
 				return err
 			}
-			opt := day.Options{Log: zerolog.Nop(), Slack: slack, Margin: margin}
+			opt := scenario.Options{Log: zerolog.Nop(), Slack: slack, Margin: margin}
 			if verbose {
 				opt.Log = zerolog.New(zerolog.ConsoleWriter{Out: os.Stderr, TimeFormat: time.StampMilli}).With().Timestamp().Logger()
 			}
@@ -62,12 +62,12 @@
 				d = d.WithoutRinging()
 			}
 			if plainly {
-				opt.Module = plain.New
+				opt.Module = baseline.New
 			}
 			if !asJSON {
 				fmt.Fprintf(cmd.ErrOrStderr(), "playing %s, seed %d: %d exchanges, %v, %d troubles\n", d.Name, d.Seed, d.Fleet.Exchanges, d.Length, len(d.Troubles))
 			}
-			res, err := day.Play(cmd.Context(), d, opt)
+			res, err := scenario.Play(cmd.Context(), d, opt)
 			if err != nil {
 				return short{err}
 			}
@@ -103,20 +103,20 @@
 	return c
 }
 
-func pickDay(args []string, draw bool, seed uint64, kind string) (*day.Day, error) {
+func pickDay(args []string, draw bool, seed uint64, kind string) (*scenario.Day, error) {
 	if draw {
 		if len(args) > 0 {
 			return nil, fmt.Errorf("--draw takes no file")
 		}
-		return day.Draw(seed, kind)
+		return scenario.Draw(seed, kind)
 	}
 	if len(args) == 0 {
-		return day.BadDay(), nil
+		return scenario.BadDay(), nil
 	}
-	if d := day.Builtin(args[0]); d != nil {
+	if d := scenario.Builtin(args[0]); d != nil {
 		return d, nil
 	}
-	d, err := day.Load(args[0])
+	d, err := scenario.Load(args[0])
 	if err != nil {
 		return nil, short{err}
 	}
@@ -142,7 +142,7 @@
 	})
 }
 
-func report(w io.Writer, res day.Result) {
+func report(w io.Writer, res scenario.Result) {
 	r := res.Report
 	fmt.Fprintf(w, "%s, seed %d (on loopback, with stand-in switches and clients)\n\n", res.Name, res.Seed)
 	fmt.Fprintf(w, "service         %6.3f of %d calls' worth\n", r.Whole.Share, r.Whole.Calls)
--- a/cmd/umbergauge/switch.go
+++ b/cmd/umbergauge/switch.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/umbergauge/umbergauge/standin/serve"
+	"github.com/umbergauge/umbergauge/emulator/switchset"
 )
 
 func switchCommand() *cobra.Command {
@@ -20,13 +20,13 @@
 		Short: "Run stand-in switches, for trying a controller without a network around it, until SIGTERM",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := serve.Load(file)
+			cfg, err := switchset.Load(file)
 			if err != nil {
 				return short{err}
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			s, err := serve.Start(cfg)
+			s, err := switchset.Start(cfg)
 			if err != nil {
 				return short{err}
 			}
--- a/controller/calls.go
+++ b/controller/calls.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"github.com/umbergauge/umbergauge/admit"
-	"github.com/umbergauge/umbergauge/brain"
+	"github.com/umbergauge/umbergauge/admission"
 	"github.com/umbergauge/umbergauge/hooks"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/m3ua"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/script"
 	"github.com/umbergauge/umbergauge/trunk"
 )
@@ -172,8 +172,8 @@
 func (c *Core) keptOut(l *leg) bool {
 	a := l.assoc
 	v := c.door.Ask(a.door, c.now)
-	if v == admit.In && a.peer.Tenant < len(c.accounts) {
-		if v = c.tenants.Ask(c.accounts[a.peer.Tenant], c.now); v != admit.In {
+	if v == admission.In && a.peer.Tenant < len(c.accounts) {
+		if v = c.tenants.Ask(c.accounts[a.peer.Tenant], c.now); v != admission.In {
 			c.door.Done(a.door)
 		}
 	}
@@ -182,7 +182,7 @@
 		c.frame = m3ua.Append(c.frame[:0], &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: c.cfg.PointCode}}, Congestion: byte(level)})
 		c.port.Send(a.id, c.frame)
 	}
-	if v == admit.In {
+	if v == admission.In {
 		return false
 	}
 	c.Counters.KeptOut++
@@ -222,11 +222,11 @@
 		c.ask(k, askArrival, script.Arrival, script.CallEvent(c.view(k)))
 		return
 	}
-	c.enter(k, brain.Offered{Advised: -1})
+	c.enter(k, policy.Offered{Advised: -1})
 }
 
 // enter tells the module of a call of the table.
-func (c *Core) enter(k *call, ev brain.Offered) {
+func (c *Core) enter(k *call, ev policy.Offered) {
 	ev.Call, ev.Class, ev.Tenant, ev.Destination, ev.Circuits, ev.CutBefore = k.id, k.class, k.tenant, int(k.dest), 1, k.cut
 	ev.Number = k.iam.Called.String()
 	ev.Due = k.arrived + max(0, c.cfg.Classes[k.class].Patience-k.delay-c.cfg.AnswerMargin)
@@ -240,23 +240,23 @@
 		if !clears(cause) {
 			o = Cut
 		}
-		c.endStanding(k, o, cause, brain.Completed)
+		c.endStanding(k, o, cause, policy.Completed)
 		return
 	}
 	if k.asking != askArrival { // else the module has not been told of it
-		c.tell(brain.Released{Call: k.id})
+		c.tell(policy.Released{Call: k.id})
 	}
 	if k.to != nil {
 		if k.asking != askEnd {
 			c.abandon(k, isup.CauseNormal)
 		}
-		c.returned(k, brain.Cancelled, brain.NoReason, true)
+		c.returned(k, policy.Cancelled, policy.NoReason, true)
 	}
 	c.close(k, Left, cause)
 }
 
 // endStanding ends a call that stood, from the caller's side or from here: its circuit is released.
-func (c *Core) endStanding(k *call, o Outcome, cause isup.Cause, told brain.Cause) {
+func (c *Core) endStanding(k *call, o Outcome, cause isup.Cause, told policy.Cause) {
 	if k.to != nil {
 		if s, id := k.to.group.Circuit(k.toCIC); s == trunk.Outgoing && id == k.id {
 			c.abandon(k, cause)
@@ -266,8 +266,8 @@
 }
 
 // over tells the module that a standing call has ended.
-func (c *Core) over(k *call, o Outcome, cause isup.Cause, told brain.Cause) {
-	c.tell(brain.Returned{Call: k.id, Attempt: k.attempts - 1, Exchange: k.to.Address, Final: true, Delay: c.now - k.sentAt, Cause: told})
+func (c *Core) over(k *call, o Outcome, cause isup.Cause, told policy.Cause) {
+	c.tell(policy.Returned{Call: k.id, Attempt: k.attempts - 1, Exchange: k.to.Address, Final: true, Delay: c.now - k.sentAt, Cause: told})
 	c.close(k, o, cause)
 }
 
@@ -323,7 +323,7 @@
 		}
 		c.backward(k, &back)
 		c.note(k, Stands, 0)
-		c.tell(brain.Established{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Delay: c.now - k.sentAt})
+		c.tell(policy.Established{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Delay: c.now - k.sentAt})
 	case isup.REL:
 		cause, loc := m.Cause, m.Location
 		f.group.FromFar(m)
@@ -334,9 +334,9 @@
 		if k.phase == standing {
 			c.answerNo(k, cause, loc)
 			if clears(cause) {
-				c.over(k, Finished, cause, brain.Completed)
+				c.over(k, Finished, cause, policy.Completed)
 			} else {
-				c.over(k, Cut, cause, brain.Reset)
+				c.over(k, Cut, cause, policy.Reset)
 			}
 			break
 		}
@@ -381,7 +381,7 @@
 	f.doubt = false
 	if !f.known {
 		f.launched = c.now
-		if f.health == brain.Ready {
+		if f.health == policy.Ready {
 			c.listed(f.entry())
 		}
 	}
@@ -432,7 +432,7 @@
 	c.Counters.Transit++
 	c.calls[k.id] = k
 	c.waiting++
-	c.enter(k, brain.Offered{Transit: true, Advised: int(f.PointCode)})
+	c.enter(k, policy.Offered{Transit: true, Advised: int(f.PointCode)})
 }
 
 // lost takes word that a call has lost its circuit.
@@ -452,9 +452,9 @@
 	}
 	if k.phase == standing {
 		c.answerNo(k, isup.CauseTemporary, isup.LocationNetwork)
-		c.over(k, Cut, isup.CauseTemporary, brain.Reset)
+		c.over(k, Cut, isup.CauseTemporary, policy.Reset)
 		return
 	}
 	// Whatever ended it, the far end may have carried it out: a dual seizure too, whose IAM may have been taken.
-	c.returned(k, brain.Reset, brain.NoReason, false)
+	c.returned(k, policy.Reset, policy.NoReason, false)
 }
--- a/controller/causes.go
+++ b/controller/causes.go
@@ -1,51 +1,51 @@
 package controller
 
 import (
-	"github.com/umbergauge/umbergauge/brain"
 	"github.com/umbergauge/umbergauge/isup"
+	"github.com/umbergauge/umbergauge/policy"
 )
 
 // ended translates the cause of a REL that ended a set-up into the module's words. The one who released tells where on
 // the way a processor was full: the tandem's own (LocationTransit) or the one beyond it (docs/design/controller.md).
-func ended(cause isup.Cause, loc isup.Location, direct bool) (brain.Cause, brain.Reason) {
+func ended(cause isup.Cause, loc isup.Location, direct bool) (policy.Cause, policy.Reason) {
 	switch cause {
 	case isup.CauseUserBusy:
-		return brain.Failed, brain.NumberBusy
+		return policy.Failed, policy.NumberBusy
 	case isup.CauseNoUser, isup.CauseNoAnswer:
-		return brain.Failed, brain.NoAnswer
+		return policy.Failed, policy.NoAnswer
 	case isup.CauseNoCircuit, isup.CauseNotAvailable, 47: // 47: resource unavailable, unspecified
 		if direct {
-			return brain.NotSetUp, brain.NoCircuit
+			return policy.NotSetUp, policy.NoCircuit
 		}
-		return brain.NotSetUp, brain.TurnedBack
+		return policy.NotSetUp, policy.TurnedBack
 	case isup.CauseCongestion:
 		if !direct && loc == isup.LocationNetwork {
-			return brain.NotSetUp, brain.TurnedBackFull
+			return policy.NotSetUp, policy.TurnedBackFull
 		}
-		return brain.NotSetUp, brain.ProcessorFull
+		return policy.NotSetUp, policy.ProcessorFull
 	case isup.CauseOutOfOrder, isup.CauseNetworkDown, isup.CauseNoRoute:
 		if direct {
-			return brain.NotSetUp, brain.NoReason
+			return policy.NotSetUp, policy.NoReason
 		}
-		return brain.NotSetUp, brain.TurnedBack
+		return policy.NotSetUp, policy.TurnedBack
 	}
-	return brain.Failed, brain.NoReason
+	return policy.Failed, policy.NoReason
 }
 
 // told is the cause that the caller is told when an attempt has ended without a REL.
-func told(cause brain.Cause, reason brain.Reason) isup.Cause {
+func told(cause policy.Cause, reason policy.Reason) isup.Cause {
 	switch cause {
-	case brain.TimedOut:
-		if reason == brain.NoAnswer {
+	case policy.TimedOut:
+		if reason == policy.NoAnswer {
 			return isup.CauseNoAnswer
 		}
 		return isup.CauseTimer
-	case brain.NoContact:
+	case policy.NoContact:
 		return isup.CauseOutOfOrder
-	case brain.Reset:
+	case policy.Reset:
 		return isup.CauseTemporary
-	case brain.NotSent:
-		if reason == brain.NoCircuit {
+	case policy.NotSent:
+		if reason == policy.NoCircuit {
 			return isup.CauseNoCircuit
 		}
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,5 +1,5 @@
 // Package controller is one call controller without its sockets: frames and the time go in, frames come out. It keeps
-// the call table, the circuits and the timers, tells package brain each event and does what that says. It makes no
+// the call table, the circuits and the timers, tells package policy each event and does what that says. It makes no
 // choice of its own of routes, windows, holds, refusals or further attempts.
 //
 // See docs/design/controller.md for the network that it stands in and for what each message means to it.
@@ -12,12 +12,12 @@
 	"slices"
 	"time"
 
-	"github.com/umbergauge/umbergauge/admit"
-	"github.com/umbergauge/umbergauge/brain"
+	"github.com/umbergauge/umbergauge/admission"
 	"github.com/umbergauge/umbergauge/hooks"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/m3ua"
 	"github.com/umbergauge/umbergauge/numbering"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/script"
 	"github.com/umbergauge/umbergauge/timer"
 	"github.com/umbergauge/umbergauge/trunk"
@@ -26,11 +26,11 @@
 // Config is what a controller is told when it starts.
 type Config struct {
 	PointCode uint32
-	Network   byte         // network indicator of DATA
-	Brain     brain.Config // Self is taken from PointCode
-	Exchanges []Exchange   // the own one among them
-	Classes   []Class      // in the order of Brain.Classes
-	Tenants   []string     // names, in the order of Brain.Tenants
+	Network   byte          // network indicator of DATA
+	Brain     policy.Config // Self is taken from PointCode
+	Exchanges []Exchange    // the own one among them
+	Classes   []Class       // in the order of Brain.Classes
+	Tenants   []string      // names, in the order of Brain.Tenants
 
 	AnswerMargin time.Duration // a final answer leaves so long before the caller gives up, for its way
 	CutMemory    time.Duration // a call that was cut and comes again is known as such so long
@@ -47,16 +47,16 @@
 	RecoveryOctets int
 
 	// Admit is the door in front of the module: limits of each client and of all, and of each tenant.
-	Admit  admit.Config
-	Tenant admit.Limits
+	Admit  admission.Config
+	Tenant admission.Limits
 
 	// Hooks are the scripts' hooks; nil: there are none.
 	Hooks Hooks
 	// HookDeadline is how long a call waits for its hooks, before it goes on as without them.
 	HookDeadline time.Duration
 
-	// Module makes the module; nil: brain.New. Another is for comparisons only, on days that are played.
-	Module func(brain.Config) (Module, error)
+	// Module makes the module; nil: policy.New. Another is for comparisons only, on days that are played.
+	Module func(policy.Config) (Module, error)
 }
 
 // Hooks run scripts beside the controller. Its methods don't block.
@@ -76,10 +76,10 @@
 	Event script.Event
 }
 
-// Module decides. In the program it is *brain.Controller.
+// Module decides. In the program it is *policy.Controller.
 type Module interface {
-	Handle(now time.Duration, ev brain.Event, out []brain.Action) []brain.Action
-	View(out []brain.View) []brain.View
+	Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action
+	View(out []policy.View) []policy.View
 }
 
 // Exchange is one exchange as settings know it.
@@ -140,7 +140,7 @@
 	// Ended tells of each call that has ended or been answered.
 	Ended(e Ending)
 	// Listed tells of each change of the list of exchanges.
-	Listed(e brain.Entry, cold bool)
+	Listed(e policy.Entry, cold bool)
 }
 
 // Outcome is how a call came out.
@@ -216,12 +216,12 @@
 	sentAt   time.Duration
 	timeOut  timer.Handle
 	via      uint32
-	cut      bool          // it stood, was cut and comes again
-	door     *admit.Client // its client's account; nil in transit
-	account  int           // its client's tenant, whatever hooks make of it
-	progress bool          // ACM has been passed back
-	rings    bool          // the attempt out has passed ACM: the processor's part is over
-	rangAt   time.Duration // when the caller was first told so; 0: not yet
+	cut      bool              // it stood, was cut and comes again
+	door     *admission.Client // its client's account; nil in transit
+	account  int               // its client's tenant, whatever hooks make of it
+	progress bool              // ACM has been passed back
+	rings    bool              // the attempt out has passed ACM: the processor's part is over
+	rangAt   time.Duration     // when the caller was first told so; 0: not yet
 	cause    isup.Cause
 	loc      isup.Location
 
@@ -259,7 +259,7 @@
 	peer Peer
 	far  *far
 	legs map[uint64]*leg // of a client
-	door *admit.Client
+	door *admission.Client
 	// server is the client that the association is one of several of, and shares legs and door with; nil: it has no other.
 	server *server
 }
@@ -279,7 +279,7 @@
 	assoc  *assoc
 	group  *trunk.Group // nil: no group
 	dirty  bool         // its circuits have changed since the module was told
-	health brain.Health
+	health policy.Health
 	// launched is the start that the module was told; doubt: signalling was lost since, so it may have started anew.
 	launched time.Duration
 	doubt    bool
@@ -339,14 +339,14 @@
 	assocs    map[Assoc]*assoc
 	servers   map[string]*server
 	routed    []uint32
-	door      *admit.Door
-	tenants   *admit.Door
-	accounts  []*admit.Client // of tenants
+	door      *admission.Door
+	tenants   *admission.Door
+	accounts  []*admission.Client // of tenants
 	own       *assoc
 	classOf   [256]uint8
 	dirty     []*far
-	events    []brain.Event
-	actions   []brain.Action
+	events    []policy.Event
+	actions   []policy.Action
 	told      int // of events
 	telling   bool
 	draining  bool
@@ -372,7 +372,7 @@
 	if cfg.Module != nil {
 		module, err = cfg.Module(cfg.Brain)
 	} else {
-		module, err = brain.New(cfg.Brain)
+		module, err = policy.New(cfg.Brain)
 	}
 	if err != nil {
 		return nil, err
@@ -399,7 +399,7 @@
 	c := &Core{cfg: cfg, port: port, module: module, now: now, wheel: timer.New[alarm](now, time.Millisecond),
 		calls: map[uint64]*call{}, byPC: map[uint32]*far{}, byAddr: map[string]*far{}, assocs: map[Assoc]*assoc{}, servers: map[string]*server{},
 		cuts: map[pair]time.Duration{}}
-	c.door, c.tenants = admit.New(cfg.Admit), admit.New(admit.Config{Client: cfg.Tenant})
+	c.door, c.tenants = admission.New(cfg.Admit), admission.New(admission.Config{Client: cfg.Tenant})
 	for range cfg.Tenants {
 		c.accounts = append(c.accounts, c.tenants.Join(now))
 	}
@@ -411,17 +411,17 @@
 	if err := c.adopt(cfg.Exchanges); err != nil {
 		return nil, err
 	}
-	entries := make([]brain.Entry, 0, len(c.fars))
+	entries := make([]policy.Entry, 0, len(c.fars))
 	for _, f := range c.fars {
 		entries = append(entries, f.entry())
 	}
 	for _, x := range cfg.Exchanges {
 		if x.PointCode == cfg.PointCode {
 			c.ownAddr = x.Address
-			entries = append(entries, brain.Entry{Address: x.Address, PointCode: int(x.PointCode)})
+			entries = append(entries, policy.Entry{Address: x.Address, PointCode: int(x.PointCode)})
 		}
 	}
-	c.tell(brain.List{Whole: true, Entries: entries})
+	c.tell(policy.List{Whole: true, Entries: entries})
 	return c, nil
 }
 
@@ -477,7 +477,7 @@
 	if err := c.adopt(exchanges); err != nil {
 		return err
 	}
-	var entries []brain.Entry
+	var entries []policy.Entry
 	for _, f := range c.fars[known:] {
 		f.launched, f.doubt = now, true // nothing is known of it: taken for cold
 		entries = append(entries, f.entry())
@@ -487,18 +487,18 @@
 }
 
 // listed tells the module of changes of the list, and the hooks.
-func (c *Core) listed(entries ...brain.Entry) {
+func (c *Core) listed(entries ...policy.Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	c.tell(brain.List{Entries: entries})
+	c.tell(policy.List{Entries: entries})
 	for _, e := range entries {
 		c.port.Listed(e, e.Launched > 0 && c.now < e.Launched+c.cfg.Brain.WarmUp)
 	}
 }
 
-func (f *far) entry() brain.Entry {
-	return brain.Entry{Address: f.Address, PointCode: int(f.PointCode), Health: f.health, Launched: f.launched}
+func (f *far) entry() policy.Entry {
+	return policy.Entry{Address: f.Address, PointCode: int(f.PointCode), Health: f.health, Launched: f.launched}
 }
 
 // Next is the time at which Tick is due, or ok is false.
@@ -510,18 +510,18 @@
 	c.wheel.Advance(now, func(a alarm) {
 		switch a.kind {
 		case moduleTimer:
-			c.tell(brain.Timer{ID: a.id})
+			c.tell(policy.Timer{ID: a.id})
 		case attemptTimer:
 			if k := c.calls[a.id]; k != nil && k.phase == offered && k.to != nil {
 				if k.rings { // T9, or as long as its caller lets it ring
 					c.Counters.NoAnswer++
 					c.abandon(k, isup.CauseNoAnswer)
-					c.returned(k, brain.TimedOut, brain.NoAnswer, false)
+					c.returned(k, policy.TimedOut, policy.NoAnswer, false)
 					break
 				}
 				c.Counters.TimedOut++
 				c.abandon(k, isup.CauseTimer)
-				c.returned(k, brain.TimedOut, brain.NoReason, false)
+				c.returned(k, policy.TimedOut, policy.NoReason, false)
 			}
 		case trunkTimer:
 			a.far.group.Alarm(a.wake)
@@ -549,7 +549,7 @@
 		if f.heard {
 			r.Wait, f.heard = f.wait.Seconds(), false
 		}
-		c.tell(brain.Status{Exchange: f.Address, OK: true, Report: r})
+		c.tell(policy.Status{Exchange: f.Address, OK: true, Report: r})
 	}
 	c.dirty = c.dirty[:0]
 	if c.ownAddr != "" && now >= c.lateTold+lateEvery {
@@ -557,7 +557,7 @@
 		r := unknown
 		r.Wait, r.HoldBack = (c.late / time.Duration(max(1, c.lateOf))).Seconds(), c.ownHold
 		c.late, c.lateOf = 0, 0
-		c.tell(brain.Status{Exchange: c.ownAddr, OK: true, Report: r})
+		c.tell(policy.Status{Exchange: c.ownAddr, OK: true, Report: r})
 	}
 }
 
@@ -568,9 +568,9 @@
 func (c *Core) Late(sum time.Duration, n int) { c.late, c.lateOf = c.late+sum, c.lateOf+n }
 
 // unknown is a report that tells nothing.
-var unknown = brain.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, HoldBack: -1}
+var unknown = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, HoldBack: -1}
 
-func (f *far) report() brain.Report {
+func (f *far) report() policy.Report {
 	r := unknown
 	if f.group != nil {
 		r.Free, r.Size = float64(f.group.Free()), float64(f.group.Size())
@@ -589,7 +589,7 @@
 
 // tell hands events to the module, one after the other, and carries out what it says. A panic on the way leaves by here,
 // but not before the events behind the one that set it off have been told: others' calls hang on them.
-func (c *Core) tell(ev brain.Event) {
+func (c *Core) tell(ev policy.Event) {
 	c.events = append(c.events, ev)
 	if c.telling {
 		return
@@ -614,13 +614,13 @@
 		c.actions = c.module.Handle(c.now, ev, c.actions[:0])
 		for _, a := range c.actions {
 			switch a := a.(type) {
-			case brain.SetUp:
+			case policy.SetUp:
 				c.setUp(a)
-			case brain.Refuse:
+			case policy.Refuse:
 				c.final(a.Call, Refused)
-			case brain.Fail:
+			case policy.Fail:
 				c.final(a.Call, Failed)
-			case brain.SetTimer:
+			case policy.SetTimer:
 				c.wheel.Set(c.now+a.After, alarm{kind: moduleTimer, id: a.ID})
 			}
 		}
@@ -711,7 +711,7 @@
 	if f.seen || f.doubt {
 		f.launched, f.doubt = c.now, false
 	}
-	if f.health == brain.Ready {
+	if f.health == policy.Ready {
 		c.listed(f.entry())
 	}
 }
@@ -886,7 +886,7 @@
 
 // destinations takes word of the state of exchanges: the list, and congestion.
 func (c *Core) destinations(a *assoc, m *m3ua.Message) {
-	var entries []brain.Entry
+	var entries []policy.Entry
 	for _, p := range m.Affected {
 		if m.Kind == m3ua.SCON && a.peer.Kind == OwnSwitch && p.PC == c.cfg.PointCode { // its own: it is in every call's path
 			c.ownHold = float64(m.Congestion) / 3
@@ -902,17 +902,17 @@
 			if m.Kind == m3ua.SCON {
 				r := f.report()
 				r.HoldBack = float64(m.Congestion) / 3
-				c.tell(brain.Status{Exchange: f.Address, OK: true, Report: r})
+				c.tell(policy.Status{Exchange: f.Address, OK: true, Report: r})
 				continue
 			}
-			health := brain.Ready
+			health := policy.Ready
 			switch m.Kind {
 			case m3ua.DUNA:
-				health = brain.Gone
+				health = policy.Gone
 			case m3ua.DRST:
-				health = brain.Draining
+				health = policy.Draining
 			}
-			if health == brain.Ready && f.health == brain.Gone && f.assoc == nil {
+			if health == policy.Ready && f.health == policy.Gone && f.assoc == nil {
 				f.doubt = true // whether it has started anew shows when it is reached
 			}
 			if health != f.health {
@@ -925,18 +925,18 @@
 }
 
 // returned tells the module that the attempt out has ended. The circuit has been dealt with.
-func (c *Core) returned(k *call, cause brain.Cause, reason brain.Reason, final bool) {
+func (c *Core) returned(k *call, cause policy.Cause, reason policy.Reason, final bool) {
 	f := k.to
 	c.wheel.Stop(k.timeOut)
 	k.to = nil
 	c.silence(k)
-	if cause != brain.Failed && cause != brain.NotSetUp {
+	if cause != policy.Failed && cause != policy.NotSetUp {
 		k.cause, k.loc = told(cause, reason), isup.LocationNetwork
 	}
-	if k.from != nil && cause == brain.NotSent || cause == brain.NoContact {
+	if k.from != nil && cause == policy.NotSent || cause == policy.NoContact {
 		k.loc = isup.LocationTransit
 	}
-	c.tell(brain.Returned{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Final: final, Delay: c.now - k.sentAt,
+	c.tell(policy.Returned{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Final: final, Delay: c.now - k.sentAt,
 		Cause: cause, Reason: reason})
 }
 
@@ -988,23 +988,23 @@
 	c.wheel.Stop(k.timeOut)
 	end := min(c.now+c.cfg.T9, k.rangAt+c.cfg.Classes[k.class].Ring-c.cfg.AnswerMargin)
 	k.timeOut = c.wheel.Set(max(c.now, end), alarm{kind: attemptTimer, id: k.id})
-	c.tell(brain.Alerting{Call: k.id, Attempt: k.attempts - 1, Exchange: k.to.Address, Delay: c.now - k.sentAt})
+	c.tell(policy.Alerting{Call: k.id, Attempt: k.attempts - 1, Exchange: k.to.Address, Delay: c.now - k.sentAt})
 }
 
 // setUp carries out an attempt. It is the only place that sends an IAM, and never for a call that is over or has an
 // attempt out, whatever is asked of it.
-func (c *Core) setUp(a brain.SetUp) {
+func (c *Core) setUp(a policy.SetUp) {
 	k, f := c.calls[a.Call], c.byAddr[a.Exchange]
 	if k == nil || k.phase != offered || k.to != nil || f == nil {
 		c.Counters.NotSent++
-		c.tell(brain.Returned{Call: a.Call, Exchange: a.Exchange, Final: k == nil || k.phase != offered, Cause: brain.NotSent})
+		c.tell(policy.Returned{Call: a.Call, Exchange: a.Exchange, Final: k == nil || k.phase != offered, Cause: policy.NotSent})
 		return
 	}
 	k.attempts++
 	k.to, k.sentAt, k.via = f, c.now, f.PointCode
 	c.Counters.Attempts++
-	not := func(cause brain.Cause, reason brain.Reason) {
-		if cause == brain.NoContact {
+	not := func(cause policy.Cause, reason policy.Reason) {
+		if cause == policy.NoContact {
 			c.Counters.NoContact++
 		} else {
 			c.Counters.NotSent++
@@ -1014,20 +1014,20 @@
 	}
 	if c.own == nil {
 		// Without the own switch the seizures of the other ends are not seen, and no circuit can be told free.
-		not(brain.NotSent, brain.ProcessorFull)
+		not(policy.NotSent, policy.ProcessorFull)
 		return
 	}
 	if f.assoc == nil {
-		not(brain.NoContact, brain.NoReason)
+		not(policy.NoContact, policy.NoReason)
 		return
 	}
 	if f.group == nil {
-		not(brain.NotSent, brain.NoCircuit)
+		not(policy.NotSent, policy.NoCircuit)
 		return
 	}
 	cic, ok := f.group.Seize(k.id)
 	if !ok {
-		not(brain.NotSent, brain.NoCircuit)
+		not(policy.NotSent, policy.NoCircuit)
 		return
 	}
 	m := k.iam
@@ -1036,7 +1036,7 @@
 	m.HasDelay, m.Delay = true, uint16(min(k.delay+c.now-k.arrived, math.MaxUint16*time.Millisecond)/time.Millisecond)
 	if !c.toFar(f, &m) {
 		f.group.Unseize(cic)
-		not(brain.NotSent, brain.NoReason)
+		not(policy.NotSent, policy.NoReason)
 		return
 	}
 	c.touch(f)
@@ -1183,6 +1183,6 @@
 	for _, id := range ids {
 		k := c.calls[id]
 		c.answerNo(k, isup.CauseTemporary, isup.LocationNetwork)
-		c.endStanding(k, Cut, isup.CauseTemporary, brain.Reset)
+		c.endStanding(k, Cut, isup.CauseTemporary, policy.Reset)
 	}
 }
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"github.com/umbergauge/umbergauge/admit"
-	"github.com/umbergauge/umbergauge/brain"
+	"github.com/umbergauge/umbergauge/admission"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/m3ua"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/trunk"
 )
 
@@ -62,13 +62,13 @@
 func (r *rig) Close(a Assoc, why string) { r.closed[a] = why }
 func (r *rig) Unsent(a Assoc) []byte     { b := r.unsent[a]; delete(r.unsent, a); return b }
 func (r *rig) Ended(e Ending)            { r.ends = append(r.ends, e) }
-func (r *rig) Listed(brain.Entry, bool)  {}
+func (r *rig) Listed(policy.Entry, bool) {}
 
 func newRig(t *testing.T, circuits int, change ...func(*Config)) *rig {
 	cfg := Config{
 		PointCode: 1, Hops: 5, AnswerMargin: 50 * ms, CutMemory: 10 * sec,
-		Brain: brain.Config{Controllers: 3, MaxAttempts: 4, Guard: 200 * ms, WarmUp: 15 * sec, ColdShare: 0.4, FallMultiple: 2, FallSpan: 3 * sec,
-			Classes: []brain.Class{{Aim: 1500 * ms, Worth: 1, LateWorth: 0.25, Circuits: 1, Repeatable: true},
+		Brain: policy.Config{Controllers: 3, MaxAttempts: 4, Guard: 200 * ms, WarmUp: 15 * sec, ColdShare: 0.4, FallMultiple: 2, FallSpan: 3 * sec,
+			Classes: []policy.Class{{Aim: 1500 * ms, Worth: 1, LateWorth: 0.25, Circuits: 1, Repeatable: true},
 				{Aim: 1200 * ms, Worth: 5, LateWorth: 0.25, Circuits: 1, Repeatable: true}}},
 		Classes: []Class{{Name: "a", Patience: 3 * sec}, {Name: "b", Patience: 2 * sec, Categories: []isup.Category{isup.CategoryPriority}}},
 		Exchanges: []Exchange{{1, "one", "h1", 0, []string{"1"}}, {2, "two", "h2", circuits, []string{"2"}},
@@ -612,30 +612,30 @@
 // spy hands events on to the module and keeps them.
 type spy struct {
 	Module
-	events *[]brain.Event
+	events *[]policy.Event
 }
 
-func (s spy) Handle(now time.Duration, ev brain.Event, out []brain.Action) []brain.Action {
+func (s spy) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
 	*s.events = append(*s.events, ev)
 	return s.Module.Handle(now, ev, out)
 }
 
 // Congestion and changes of circuits reach the module.
 func TestStatus(t *testing.T) {
-	var events []brain.Event
+	var events []policy.Event
 	r := newRig(t, 10, func(c *Config) {
-		c.Module = func(b brain.Config) (Module, error) {
-			m, err := brain.New(b)
+		c.Module = func(b policy.Config) (Module, error) {
+			m, err := policy.New(b)
 			return spy{m, &events}, err
 		}
 	})
-	last := func() brain.Status {
+	last := func() policy.Status {
 		for i := len(events) - 1; i >= 0; i-- {
-			if s, ok := events[i].(brain.Status); ok {
+			if s, ok := events[i].(policy.Status); ok {
 				return s
 			}
 		}
-		return brain.Status{}
+		return policy.Status{}
 	}
 	r.c.Handle(r.now, own, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 2}}, Congestion: 3})
 	if s := last(); s.Exchange != "h2" || s.Report.HoldBack != 1 || s.Report.Free != 10 {
@@ -720,12 +720,12 @@
 func (n *nowhere) Unsent(Assoc) []byte { return nil }
 func (n *nowhere) Ended(Ending)        {}
 
-func (n *nowhere) Listed(brain.Entry, bool) {}
+func (n *nowhere) Listed(policy.Entry, bool) {}
 
 // benchmarkCall measures one whole call beside open ones, which stand or ring.
 func benchmarkCall(b *testing.B, open int, as isup.Type) {
-	cfg := Config{PointCode: 1, Hops: 5, Brain: brain.Config{Controllers: 2, MaxAttempts: 4, Guard: 200 * ms,
-		Classes: []brain.Class{{Aim: 1500 * ms, Worth: 1, Circuits: 1, Repeatable: true}}},
+	cfg := Config{PointCode: 1, Hops: 5, Brain: policy.Config{Controllers: 2, MaxAttempts: 4, Guard: 200 * ms,
+		Classes: []policy.Class{{Aim: 1500 * ms, Worth: 1, Circuits: 1, Repeatable: true}}},
 		Classes: []Class{{Name: "a", Patience: 3 * sec, Ring: time.Hour}}, T9: time.Hour, Exchanges: []Exchange{{1, "", "h", 0, nil}}}
 	far := open/4000 + 1
 	for i := range far {
@@ -800,7 +800,7 @@
 
 // Limits keep a client's flood out at once, with cause 42, its congestion level, and one SCON for each change.
 func TestKeptOut(t *testing.T) {
-	r := newRig(t, 100, func(c *Config) { c.Admit.Client = admit.Limits{Rate: 10, Burst: 5} })
+	r := newRig(t, 100, func(c *Config) { c.Admit.Client = admission.Limits{Rate: 10, Burst: 5} })
 	for cic := uint16(1); cic <= 20; cic++ {
 		r.offer(cic, "2001")
 	}
@@ -831,8 +831,8 @@
 // Open calls count until they are over, however they end.
 func TestOpenLimit(t *testing.T) {
 	r := newRig(t, 100, func(c *Config) {
-		c.Admit.Client = admit.Limits{Open: 2}
-		c.Tenants, c.Tenant = []string{"x"}, admit.Limits{Open: 2}
+		c.Admit.Client = admission.Limits{Open: 2}
+		c.Tenants, c.Tenant = []string{"x"}, admission.Limits{Open: 2}
 	})
 	out := map[uint16]uint16{}
 	for cic := uint16(1); cic <= 2; cic++ {
@@ -853,7 +853,7 @@
 	r.offer(6, "2006")
 	r.one(two, isup.IAM)
 	r.c.Down(r.now, client)
-	if r.c.door.Ask(r.c.door.Join(r.now), r.now) != admit.In || r.c.accounts[0].Open() != 0 {
+	if r.c.door.Ask(r.c.door.Join(r.now), r.now) != admission.In || r.c.accounts[0].Open() != 0 {
 		t.Errorf("%d open of the tenant", r.c.accounts[0].Open())
 	}
 }
--- a/controller/hooks.go
+++ b/controller/hooks.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/umbergauge/umbergauge/brain"
 	"github.com/umbergauge/umbergauge/hooks"
 	"github.com/umbergauge/umbergauge/isup"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/script"
 )
 
@@ -106,7 +106,7 @@
 		return
 	}
 	k.dest = dest
-	c.enter(k, brain.Offered{Advised: -1, Exclude: a.Exclude})
+	c.enter(k, policy.Offered{Advised: -1, Exclude: a.Exclude})
 }
 
 // refuse is the final answer of a call that the module has not been told of.
--- a/controller/phases_test.go
+++ b/controller/phases_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"github.com/umbergauge/umbergauge/brain"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/m3ua"
+	"github.com/umbergauge/umbergauge/policy"
 )
 
 func ringRig(t *testing.T, change ...func(*Config)) *rig {
@@ -25,7 +25,7 @@
 	return m.CIC
 }
 
-func (r *rig) view(pc int) brain.View {
+func (r *rig) view(pc int) policy.View {
 	r.t.Helper()
 	for _, v := range r.c.Views() {
 		if v.PointCode == pc {
@@ -33,7 +33,7 @@
 		}
 	}
 	r.t.Fatalf("no exchange %d", pc)
-	return brain.View{}
+	return policy.View{}
 }
 
 // A number rings far beyond aim and patience of the set-up, and is answered.
--- a/controller/view.go
+++ b/controller/view.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/umbergauge/umbergauge/brain"
 	"github.com/umbergauge/umbergauge/isup"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/trunk"
 )
 
@@ -44,7 +44,7 @@
 }
 
 // Views are the module's views of the exchanges, the own one first.
-func (c *Core) Views() []brain.View { return c.module.View(nil) }
+func (c *Core) Views() []policy.View { return c.module.View(nil) }
 
 // CallView is what operators see of a call.
 type CallView struct {
--- a/daemon/connect.go
+++ b/daemon/connect.go
@@ -13,7 +13,7 @@
 
 	"github.com/umbergauge/umbergauge/controller"
 	"github.com/umbergauge/umbergauge/internal/config"
-	"github.com/umbergauge/umbergauge/internal/owned"
+	"github.com/umbergauge/umbergauge/internal/taskgroup"
 	"github.com/umbergauge/umbergauge/m3ua"
 )
 
@@ -97,7 +97,7 @@
 func (d *Daemon) accept(ctx context.Context) {
 	// A storm of connections is spread by those who are turned away and try again.
 	handshakes := rate.NewLimiter(rate.Limit(d.cfg.Limits.Handshakes), max(1, int(d.cfg.Limits.Handshakes)))
-	owned.Accept(ctx, d.listener, func(err error) { d.log.Error().Err(err).Msg("accept") }, func(conn net.Conn) {
+	taskgroup.Accept(ctx, d.listener, func(err error) { d.log.Error().Err(err).Msg("accept") }, func(conn net.Conn) {
 		if int(d.clients.Add(1)) > d.cfg.Limits.Clients || !handshakes.Allow() {
 			d.clients.Add(-1)
 			d.metrics.turnedAway.Inc()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -15,12 +15,12 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/time/rate"
 
-	"github.com/umbergauge/umbergauge/brain"
 	"github.com/umbergauge/umbergauge/controller"
 	"github.com/umbergauge/umbergauge/hooks"
 	"github.com/umbergauge/umbergauge/internal/config"
-	"github.com/umbergauge/umbergauge/internal/owned"
+	"github.com/umbergauge/umbergauge/internal/taskgroup"
 	"github.com/umbergauge/umbergauge/m3ua"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/script"
 )
 
@@ -31,7 +31,7 @@
 	// Dial and Listen default to TCP; tests hand in pipes.
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Listen func(addr string) (net.Listener, error)
-	Module func(brain.Config) (controller.Module, error) // for comparisons only; nil: brain.New
+	Module func(policy.Config) (controller.Module, error) // for comparisons only; nil: policy.New
 	// Capture, if set, is given every frame of every association; it must not wait.
 	Capture func(at time.Time, from, to net.Addr, frame []byte)
 }
@@ -50,7 +50,7 @@
 	lost    *link // that goes down now
 	nextID  atomic.Uint32
 	clients atomic.Int32 // connections of clients
-	group   owned.Group
+	group   taskgroup.Group
 	metrics *metrics
 	hooks   *hookRunner
 	capture func(at time.Time, from, to net.Addr, frame []byte)
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -17,14 +17,14 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"github.com/umbergauge/umbergauge/brain"
 	"github.com/umbergauge/umbergauge/controller"
+	"github.com/umbergauge/umbergauge/emulator"
 	"github.com/umbergauge/umbergauge/internal/config"
 	"github.com/umbergauge/umbergauge/internal/memnet"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/m3ua"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/record"
-	"github.com/umbergauge/umbergauge/standin"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -32,8 +32,8 @@
 // rig is a daemon of exchange 1 with its own switch and that of exchange 2.
 type rig struct {
 	t        *testing.T
-	net      *standin.Net
-	switches []*standin.Switch
+	net      *emulator.Net
+	switches []*emulator.Switch
 	d        *Daemon
 	done     chan error
 	cancel   context.CancelFunc
@@ -58,7 +58,7 @@
 
 func newRig(t *testing.T, w world, change func(*config.Config, *Options)) *rig {
 	t.Helper()
-	r := &rig{t: t, net: &standin.Net{Dial: w.dial, Listen: w.listen, Log: record.New()}, done: make(chan error, 1)}
+	r := &rig{t: t, net: &emulator.Net{Dial: w.dial, Listen: w.listen, Log: record.New()}, done: make(chan error, 1)}
 	c := config.Default()
 	c.Exchange, c.Listen = 1, "127.0.0.1:0"
 	c.Classes = []config.Class{{Name: "a", Aim: 1500 * time.Millisecond, Patience: 3 * time.Second, Worth: 1}}
@@ -66,7 +66,7 @@
 		WriteLimit: 2 * time.Second, BackoffMin: 50 * time.Millisecond, BackoffMax: time.Second, Queue: 64 * 1024}
 	c.DrainLimit = 5 * time.Second
 	for pc := uint32(1); pc <= 2; pc++ {
-		s := standin.NewSwitch(r.net, standin.SwitchConfig{PC: pc, Prefixes: []string{fmt.Sprint(pc)}, Circuits: map[uint32]int{3 - pc: 20}, Rate: 1000})
+		s := emulator.NewSwitch(r.net, emulator.SwitchConfig{PC: pc, Prefixes: []string{fmt.Sprint(pc)}, Circuits: map[uint32]int{3 - pc: 20}, Rate: 1000})
 		addr, err := s.Start("127.0.0.1:0", false)
 		if err != nil {
 			t.Fatal(err)
@@ -117,16 +117,16 @@
 	}
 }
 
-func (r *rig) client(pc uint32) *standin.Client {
-	c := standin.NewClient(r.net, standin.ClientConfig{PC: pc, Controller: 1, Addr: r.d.Addr(), Seed: 1})
+func (r *rig) client(pc uint32) *emulator.Client {
+	c := emulator.NewClient(r.net, emulator.ClientConfig{PC: pc, Controller: 1, Addr: r.d.Addr(), Seed: 1})
 	r.until("client connected", c.Connected)
 	return c
 }
 
 func (r *rig) counters() controller.Counters { return r.d.Counters(context.Background()) }
 
-func call(hold time.Duration) standin.Call {
-	return standin.Call{Calling: "9001", Called: "2001", Category: isup.CategoryOrdinary, Hold: hold, Patience: 3 * time.Second}
+func call(hold time.Duration) emulator.Call {
+	return emulator.Call{Calling: "9001", Called: "2001", Category: isup.CategoryOrdinary, Hold: hold, Patience: 3 * time.Second}
 }
 
 // raw connects as a client by hand.
@@ -202,8 +202,8 @@
 // bomb is a module that panics when a certain number is called.
 type bomb struct{ controller.Module }
 
-func (b bomb) Handle(now time.Duration, ev brain.Event, out []brain.Action) []brain.Action {
-	if o, ok := ev.(brain.Offered); ok && strings.HasSuffix(o.Number, "666") {
+func (b bomb) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
+	if o, ok := ev.(policy.Offered); ok && strings.HasSuffix(o.Number, "666") {
 		panic("the number of the beast")
 	}
 	return b.Module.Handle(now, ev, out)
@@ -213,8 +213,8 @@
 func TestPanicCostsItsLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, memory(), func(_ *config.Config, o *Options) {
-			o.Module = func(c brain.Config) (controller.Module, error) {
-				m, err := brain.New(c)
+			o.Module = func(c policy.Config) (controller.Module, error) {
+				m, err := policy.New(c)
 				return bomb{m}, err
 			}
 		})
--- a/daemon/hooks.go
+++ b/daemon/hooks.go
@@ -8,9 +8,9 @@
 	"path/filepath"
 	"time"
 
-	"github.com/umbergauge/umbergauge/brain"
 	"github.com/umbergauge/umbergauge/controller"
 	"github.com/umbergauge/umbergauge/hooks"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/script"
 )
 
@@ -297,7 +297,7 @@
 }
 
 // Listed hands changes of the list to the hooks.
-func (p port) Listed(e brain.Entry, cold bool) {
+func (p port) Listed(e policy.Entry, cold bool) {
 	h := p.d.hooks
 	if s := h.book.Live(); s.Has(script.ListChange) {
 		ev := script.ListEvent(e.PointCode, [...]string{"ready", "draining", "gone"}[e.Health], cold)
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -9,8 +9,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"github.com/umbergauge/umbergauge/brain"
 	"github.com/umbergauge/umbergauge/controller"
+	"github.com/umbergauge/umbergauge/policy"
 )
 
 // metrics are the daemon's figures for Prometheus. Totals and the module's view are read from the controller when they
@@ -130,7 +130,7 @@
 	open, waiting int
 	ringing       int
 	groups        []groupView
-	views         []brain.View
+	views         []policy.View
 }
 
 type groupView struct{ controller.GroupView }
--- a/standin/client.go
+++ b/emulator/client.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"context"
@@ -252,11 +252,11 @@
 	}
 	called, err := isup.ParseNumber(4, call.Called)
 	if err != nil {
-		panic(fmt.Sprintf("standin: called number %q", call.Called))
+		panic(fmt.Sprintf("emulator: called number %q", call.Called))
 	}
 	calling, err := isup.ParseNumber(4, call.Calling)
 	if err != nil {
-		panic(fmt.Sprintf("standin: calling number %q", call.Calling))
+		panic(fmt.Sprintf("emulator: calling number %q", call.Calling))
 	}
 	c.nextRef++
 	k := &clCall{Call: call, cic: cic}
--- a/standin/net.go
+++ b/emulator/network.go
@@ -1,7 +1,7 @@
-// Package standin plays the world around call controllers on sockets: switches with a processor, trunk groups and
+// Package emulator plays the world around call controllers on sockets: switches with a processor, trunk groups and
 // subscribers, and clients with callers. They speak M3UA and ISUP, share only the codecs with what they test, and record
 // every frame. All that goes wrong on a day is done here.
-package standin
+package emulator
 
 import (
 	"context"
--- a/standin/switch.go
+++ b/emulator/switch.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"fmt"
--- a/standin/serve/serve.go
+++ b/emulator/switchset/switchset.go
@@ -1,5 +1,5 @@
-// Package serve runs stand-in switches from a file, so that a controller can be tried without a network around it.
-package serve
+// Package switchset runs stand-in switches from a file, so that a controller can be tried without a network around it.
+package switchset
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"slices"
 	"time"
 
+	"github.com/umbergauge/umbergauge/emulator"
 	"github.com/umbergauge/umbergauge/internal/config"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/record"
-	"github.com/umbergauge/umbergauge/standin"
 )
 
 // Config is one or more switches. docs/operations/switch.md explains each key.
@@ -52,8 +52,8 @@
 
 // Class is how the numbers that callers of a category dial take calls.
 type Class struct {
-	Category        int `yaml:"category"`
-	standin.Ringing `yaml:",inline"`
+	Category         int `yaml:"category"`
+	emulator.Ringing `yaml:",inline"`
 }
 
 // Default has the values of keys that a file may leave out.
@@ -117,7 +117,7 @@
 // Set is a running set of switches.
 type Set struct {
 	Addrs    map[uint32]string // where each listens
-	Switches map[uint32]*standin.Switch
+	Switches map[uint32]*emulator.Switch
 }
 
 // Start starts the switches. On an error none runs.
@@ -125,7 +125,7 @@
 	log := record.New()
 	log.Discard()
 	var nd net.Dialer
-	sn := &standin.Net{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
+	sn := &emulator.Net{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
 		Dial: func(ctx context.Context, a string) (net.Conn, error) { return nd.DialContext(ctx, "tcp", a) }}
 	sn.SetDelay(func(a, b uint32) time.Duration {
 		if a == b {
@@ -133,13 +133,13 @@
 		}
 		return c.Delay
 	})
-	ringing := map[isup.Category]standin.Ringing{}
+	ringing := map[isup.Category]emulator.Ringing{}
 	for _, r := range c.Ringing {
 		ringing[isup.Category(r.Category)] = r.Ringing
 	}
-	s := &Set{Addrs: map[uint32]string{}, Switches: map[uint32]*standin.Switch{}}
+	s := &Set{Addrs: map[uint32]string{}, Switches: map[uint32]*emulator.Switch{}}
 	for i, x := range c.Switches {
-		sw := standin.NewSwitch(sn, standin.SwitchConfig{PC: x.PointCode, Prefixes: x.Prefixes, Circuits: x.Circuits, Seed: c.Seed + uint64(i),
+		sw := emulator.NewSwitch(sn, emulator.SwitchConfig{PC: x.PointCode, Prefixes: x.Prefixes, Circuits: x.Circuits, Seed: c.Seed + uint64(i),
 			Rate: x.Rate, FollowWork: x.FollowWork, RejectWork: x.RejectWork, FullAfter: x.FullAfter, AnswersFirst: x.AnswersFirst,
 			EarlyACM: x.EarlyACM, HangUp: x.HangUp, Hold: x.Hold, Ringing: ringing, ColdShare: 0.3, WarmUp: 15 * time.Second})
 		s.Switches[x.PointCode] = sw
@@ -149,8 +149,8 @@
 			return nil, fmt.Errorf("switch %d: %w", x.PointCode, err)
 		}
 		s.Addrs[x.PointCode] = addr
-		for kind, share := range map[standin.Thin]float64{standin.ThinFull: x.Thin.Full, standin.ThinSilent: x.Thin.Silent,
-			standin.ThinReset: x.Thin.Reset, standin.ThinFailed: x.Thin.Failed} {
+		for kind, share := range map[emulator.Thin]float64{emulator.ThinFull: x.Thin.Full, emulator.ThinSilent: x.Thin.Silent,
+			emulator.ThinReset: x.Thin.Reset, emulator.ThinFailed: x.Thin.Failed} {
 			sw.Thin(kind, share)
 		}
 	}
--- a/standin/serve/serve_test.go
+++ b/emulator/switchset/switchset_test.go
@@ -1,4 +1,4 @@
-package serve
+package switchset
 
 import (
 	"strings"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,12 +17,12 @@
 	"github.com/goccy/go-yaml/ast"
 	"github.com/goccy/go-yaml/parser"
 
-	"github.com/umbergauge/umbergauge/admit"
-	"github.com/umbergauge/umbergauge/brain"
+	"github.com/umbergauge/umbergauge/admission"
 	"github.com/umbergauge/umbergauge/controller"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/m3ua"
 	"github.com/umbergauge/umbergauge/numbering"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/trunk"
 )
 
@@ -173,7 +173,9 @@
 	Open  int     `yaml:"open"`
 }
 
-func (d Door) limits() admit.Limits { return admit.Limits{Rate: d.Rate, Burst: d.Burst, Open: d.Open} }
+func (d Door) limits() admission.Limits {
+	return admission.Limits{Rate: d.Rate, Burst: d.Burst, Open: d.Open}
+}
 
 // Default has the values of keys that a file may leave out.
 func Default() Config {
@@ -498,13 +500,13 @@
 		PointCode: c.Exchange, Network: c.Network, AnswerMargin: c.AnswerMargin, CutMemory: c.CutMemory, Hops: byte(c.Hops),
 		MaxCalls: c.Limits.Calls, Recovery: c.Association.Recovery, RecoveryOctets: c.Association.RecoveryQueue, ClientT1: c.Timers.T1, T7: c.Timers.T7, T9: c.Timers.T9,
 		Trunk: trunk.Timers{T1: c.Timers.T1, T5: c.Timers.T5, T16: c.Timers.T16, T28: c.Timers.T28, Hold: c.Timers.Hold},
-		Brain: brain.Config{Seed: c.Seed, Controllers: len(c.Exchanges), OverQuotaWorth: c.OverQuotaWorth, MaxAttempts: c.MaxAttempts,
+		Brain: policy.Config{Seed: c.Seed, Controllers: len(c.Exchanges), OverQuotaWorth: c.OverQuotaWorth, MaxAttempts: c.MaxAttempts,
 			Guard: c.Guard, Repeat: c.Repeat, WarmUp: c.Cold.WarmUp, ColdShare: c.Cold.Share, FallMultiple: c.Cold.FallMultiple,
 			FallSpan: c.Cold.FallSpan,
 			Number:   slices.IndexFunc(c.Exchanges, func(e Exchange) bool { return e.PointCode == c.Exchange })},
 	}
 	for _, cl := range c.Classes {
-		out.Brain.Classes = append(out.Brain.Classes, brain.Class{Aim: cl.Aim, Worth: cl.Worth, LateWorth: cl.LateWorth, Circuits: 1, Repeatable: true})
+		out.Brain.Classes = append(out.Brain.Classes, policy.Class{Aim: cl.Aim, Worth: cl.Worth, LateWorth: cl.LateWorth, Circuits: 1, Repeatable: true})
 		k := controller.Class{Name: cl.Name, Patience: cl.Patience, Ring: cl.Ring}
 		for _, cat := range cl.Categories {
 			k.Categories = append(k.Categories, isup.Category(cat))
@@ -512,12 +514,12 @@
 		out.Classes = append(out.Classes, k)
 	}
 	for _, t := range c.Tenants {
-		out.Brain.Tenants = append(out.Brain.Tenants, brain.Tenant{Quota: t.Quota})
+		out.Brain.Tenants = append(out.Brain.Tenants, policy.Tenant{Quota: t.Quota})
 		out.Tenants = append(out.Tenants, t.Name)
 	}
 	out.Exchanges = c.ExchangeList()
 	out.HookDeadline = c.Hooks.Deadline
-	out.Admit, out.Tenant = admit.Config{Client: c.Limits.Client.limits(), All: c.Limits.All.limits()}, c.Limits.Tenant.limits()
+	out.Admit, out.Tenant = admission.Config{Client: c.Limits.Client.limits(), All: c.Limits.All.limits()}, c.Limits.Tenant.limits()
 	return out
 }
 
--- a/internal/bounded/bounded.go
+++ b/internal/streambuf/streambuf.go
@@ -1,5 +1,5 @@
-// Package bounded buffers a stream for decoders that cut it into messages of bounded length.
-package bounded
+// Package streambuf buffers a stream for decoders that cut it into messages of bounded length.
+package streambuf
 
 import (
 	"errors"
--- a/internal/owned/owned.go
+++ b/internal/taskgroup/taskgroup.go
@@ -1,5 +1,5 @@
-// Package owned starts goroutines that have an owner: one that waits for their end and hears of their panics.
-package owned
+// Package taskgroup starts goroutines that have an owner: one that waits for their end and hears of their panics.
+package taskgroup
 
 import (
 	"context"
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"github.com/umbergauge/umbergauge/brain"
+	"github.com/umbergauge/umbergauge/policy"
 )
 
 // args are the values of one message. The first thing wrong with them stays in err.
@@ -148,16 +148,16 @@
 }
 
 // healths maps the list's states.
-var healths = map[string]brain.Health{"Ready": brain.Ready, "Terminating": brain.Draining, "Gone": brain.Gone}
+var healths = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone}
 
-func (a *args) entries(i int) []brain.Entry {
+func (a *args) entries(i int) []policy.Entry {
 	v := a.value(i)
 	if v == nil || v.Type() != fastjson.TypeArray {
 		a.fail("value %d of %s is not a list", i, clip(a.name))
 		return nil
 	}
 	items := v.GetArray()
-	entries := make([]brain.Entry, 0, len(items))
+	entries := make([]policy.Entry, 0, len(items))
 	for _, item := range items {
 		e := &args{name: "entry", v: item.GetArray()}
 		e.arity(7)
@@ -166,7 +166,7 @@
 			if !ok {
 				e.fail("unknown health %s", clip(e.text(4)))
 			}
-			entries = append(entries, brain.Entry{Address: e.text(5), PointCode: int(e.integer(6)), Health: health,
+			entries = append(entries, policy.Entry{Address: e.text(5), PointCode: int(e.integer(6)), Health: health,
 				Launched: millis(e.number(1, 0))})
 		}
 		if e.err != nil {
@@ -180,24 +180,24 @@
 // field sets one value of a load report.
 type field struct {
 	name string
-	set  func(*brain.Report, float64)
+	set  func(*policy.Report, float64)
 }
 
 // reportFields maps the names that load reports may use.
-var reportFields = map[string]func(*brain.Report, float64){
-	"free":      func(r *brain.Report, f float64) { r.Free = f },
-	"size":      func(r *brain.Report, f float64) { r.Size = f },
-	"cpu_share": func(r *brain.Report, f float64) { r.Utilisation = f },
-	"pending":   func(r *brain.Report, f float64) { r.Queue = f },
-	"can_take":  func(r *brain.Report, f float64) { r.Rate = f },
-	"svc_ms":    func(r *brain.Report, f float64) { r.Wait = f / 1000 },
-	"hold_back": func(r *brain.Report, f float64) { r.HoldBack = f },
+var reportFields = map[string]func(*policy.Report, float64){
+	"free":      func(r *policy.Report, f float64) { r.Free = f },
+	"size":      func(r *policy.Report, f float64) { r.Size = f },
+	"cpu_share": func(r *policy.Report, f float64) { r.Utilisation = f },
+	"pending":   func(r *policy.Report, f float64) { r.Queue = f },
+	"can_take":  func(r *policy.Report, f float64) { r.Rate = f },
+	"svc_ms":    func(r *policy.Report, f float64) { r.Wait = f / 1000 },
+	"hold_back": func(r *policy.Report, f float64) { r.HoldBack = f },
 }
 
-var unknownReport = brain.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, HoldBack: -1}
+var unknownReport = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, HoldBack: -1}
 
 // report reads a load report, or nil where there is none.
-func (in *instance) report(a *args, i int) *brain.Report {
+func (in *instance) report(a *args, i int) *policy.Report {
 	v := a.value(i)
 	if v == nil {
 		return nil
@@ -218,11 +218,11 @@
 }
 
 // config translates the settings of Hello.
-func (a *args) config(i int) (brain.Config, []field) {
+func (a *args) config(i int) (policy.Config, []field) {
 	v := a.value(i)
 	if v == nil {
 		a.fail("Hello has no settings")
-		return brain.Config{}, nil
+		return policy.Config{}, nil
 	}
 	s, err := Decode(v)
 	if err != nil {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,14 +8,14 @@
 
 	"github.com/valyala/fastjson"
 
-	"github.com/umbergauge/umbergauge/brain"
+	"github.com/umbergauge/umbergauge/policy"
 )
 
 // Settings are what an instance is told at its start, on the simulator's wire and on the platform alike: the module's part,
 // and what those who carry its decisions out keep to.
 type Settings struct {
-	Brain   brain.Config // without Seed
-	Classes []string     // names, in the order of Brain.Classes
+	Brain   policy.Config // without Seed
+	Classes []string      // names, in the order of Brain.Classes
 	Zones   []string
 
 	Longest        time.Duration // longest time for which callers of a class wait
@@ -53,7 +53,7 @@
 		RetryAfter:     v.GetBool("limits", "retry_after"),
 		MaxRetryAfter:  millis(num(v, 0, "limits", "max_retry_after")),
 		OpenCap:        int(num(v, 0, "limits", "open_cap")),
-		Brain: brain.Config{
+		Brain: policy.Config{
 			Self:           int(num(v, -1, "family_info", "self_no")),
 			Controllers:    int(num(v, 1, "replicas_of_me")),
 			Number:         int(num(v, 0, "position")),
@@ -71,7 +71,7 @@
 		},
 	}
 	for n, c := range v.GetArray("request_classes") {
-		class := brain.Class{
+		class := policy.Class{
 			Aim: millis(num(c, 0, "aim")), Worth: num(c, 1, "credit"), LateWorth: num(c, 0, "late_worth"),
 			Circuits: num(v, 1, "family_info", "class_width", fmt.Sprint(n)),
 		}
@@ -84,7 +84,7 @@
 		s.Longest = max(s.Longest, millis(num(c, 0, "give_up")))
 	}
 	for _, t := range v.GetArray("accounts") {
-		s.Brain.Tenants = append(s.Brain.Tenants, brain.Tenant{Quota: num(t, 0, "quota_per_s")})
+		s.Brain.Tenants = append(s.Brain.Tenants, policy.Tenant{Quota: num(t, 0, "quota_per_s")})
 	}
 	for _, z := range v.GetArray("zones") {
 		s.Zones = append(s.Zones, string(z.GetStringBytes()))
@@ -99,11 +99,11 @@
 }
 
 // Report reads a load report whose values are looked up by the names that the settings list; others are unknown.
-func (s *Settings) Report(value func(name string) (float64, bool)) brain.Report {
+func (s *Settings) Report(value func(name string) (float64, bool)) policy.Report {
 	return reportOf(s.fields, value)
 }
 
-func reportOf(fields []field, value func(name string) (float64, bool)) brain.Report {
+func reportOf(fields []field, value func(name string) (float64, bool)) policy.Report {
 	r := unknownReport
 	for _, f := range fields {
 		if n, ok := value(f.name); ok && n >= 0 && n < 1e15 {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire hosts any number of controllers behind the line protocol of the simulator. It translates
-// the wire's words into those of package brain and back, and decides nothing.
+// the wire's words into those of package policy and back, and decides nothing.
 package wire
 
 import (
@@ -13,12 +13,12 @@
 
 	"github.com/valyala/fastjson"
 
-	"github.com/umbergauge/umbergauge/brain"
+	"github.com/umbergauge/umbergauge/policy"
 )
 
 // instance is one hosted controller.
 type instance struct {
-	ctl    *brain.Controller
+	ctl    *policy.Controller
 	fields []field // meaning of the load report's values
 }
 
@@ -26,15 +26,15 @@
 type host struct {
 	parser    fastjson.Parser
 	instances map[int64]*instance
-	pages     map[int64][]brain.Entry
+	pages     map[int64][]policy.Entry
 	now       time.Duration
-	actions   []brain.Action
+	actions   []policy.Action
 	out       []byte
 }
 
 // Serve answers batches from r on w until the input ends. The error is a plain one-line message.
 func Serve(r io.Reader, w io.Writer) error {
-	h := &host{instances: map[int64]*instance{}, pages: map[int64][]brain.Entry{}}
+	h := &host{instances: map[int64]*instance{}, pages: map[int64][]policy.Entry{}}
 	in := bufio.NewReaderSize(r, 1<<20)
 	bw := bufio.NewWriterSize(w, 1<<18)
 	open, line := false, 0
@@ -123,7 +123,7 @@
 		a.fail("%s for unknown controller %d", a.name, id)
 		return
 	}
-	var ev brain.Event
+	var ev policy.Event
 	switch a.name {
 	case "PowerOff":
 		a.arity(1)
@@ -141,10 +141,10 @@
 		ev = in.returned(a)
 	case "Dropped":
 		a.arity(2)
-		ev = brain.Released{Call: a.call(1)}
+		ev = policy.Released{Call: a.call(1)}
 	case "Wake":
 		a.arity(2)
-		ev = brain.Timer{ID: a.unsigned(1)}
+		ev = policy.Timer{ID: a.unsigned(1)}
 	case "Mail":
 		a.arity(3)
 		return
@@ -169,7 +169,7 @@
 		return
 	}
 	cfg.Seed = seed
-	ctl, err := brain.New(cfg)
+	ctl, err := policy.New(cfg)
 	if err != nil {
 		a.fail("settings: %v", err)
 		return
@@ -178,7 +178,7 @@
 }
 
 // targets translates a report on the list.
-func (h *host) targets(a *args) brain.Event {
+func (h *host) targets(a *args) policy.Event {
 	if len(a.v) < 2 {
 		a.arity(4)
 		return nil
@@ -186,7 +186,7 @@
 	form := a.text(1)
 	switch form {
 	case "X":
-		return brain.List{Failed: true}
+		return policy.List{Failed: true}
 	case "D", "F", "C":
 	default:
 		a.fail("unknown form of list %s", clip(form))
@@ -198,7 +198,7 @@
 	if !ok {
 		a.fail("list %d was never sent", page)
 	}
-	return brain.List{Whole: form != "D", Entries: entries}
+	return policy.List{Whole: form != "D", Entries: entries}
 }
 
 // The bits of a Demand's options.
@@ -208,10 +208,10 @@
 	optCutBefore = 16
 )
 
-func (in *instance) demand(a *args) brain.Event {
+func (in *instance) demand(a *args) policy.Event {
 	a.arity(11)
 	options := a.integer(10)
-	ev := brain.Offered{
+	ev := policy.Offered{
 		Call: a.call(1), Circuits: a.number(3, 0), Due: a.ms(4), Advised: int(a.number(5, -1)),
 		Tenant: int(a.number(6, 0)), Number: a.optText(7), Destination: int(a.integer(8)), Class: int(a.integer(9)),
 		Transit: options&optTransit != 0, Redial: options&optRedial != 0, CutBefore: options&optCutBefore != 0,
@@ -219,9 +219,9 @@
 	return ev
 }
 
-func (in *instance) echo(a *args) brain.Event {
+func (in *instance) echo(a *args) policy.Event {
 	a.arity(5)
-	ev := brain.Status{Exchange: a.text(2), OK: a.integer(3) == 0, Report: unknownReport}
+	ev := policy.Status{Exchange: a.text(2), OK: a.integer(3) == 0, Report: unknownReport}
 	if delay := a.ms(1); delay > 0 {
 		ev.Asked, ev.Delay = true, delay
 	}
@@ -231,45 +231,45 @@
 	return ev
 }
 
-func (in *instance) established(a *args) brain.Event {
+func (in *instance) established(a *args) policy.Event {
 	a.arity(5)
-	return brain.Established{Call: a.call(1), Delay: a.ms(2), Exchange: a.text(3), Attempt: int(a.integer(4))}
+	return policy.Established{Call: a.call(1), Delay: a.ms(2), Exchange: a.text(3), Attempt: int(a.integer(4))}
 }
 
 // causes maps completion codes.
-var causes = map[int64]brain.Cause{
-	0: brain.Completed, 13: brain.Failed, 8: brain.NotSetUp, 4: brain.TimedOut, 14: brain.NoContact,
-	10: brain.Reset, 1: brain.Cancelled, 9: brain.NotSent,
+var causes = map[int64]policy.Cause{
+	0: policy.Completed, 13: policy.Failed, 8: policy.NotSetUp, 4: policy.TimedOut, 14: policy.NoContact,
+	10: policy.Reset, 1: policy.Cancelled, 9: policy.NotSent,
 }
 
-func (in *instance) returned(a *args) brain.Event {
+func (in *instance) returned(a *args) policy.Event {
 	a.arity(9)
 	code, why := a.integer(6), int64(a.number(5, 0))
 	cause, ok := causes[code]
 	if !ok {
 		a.fail("unknown completion code %d", code)
 	}
-	ev := brain.Returned{
+	ev := policy.Returned{
 		Call: a.call(1), Final: a.boolean(2), Delay: a.ms(3), Attempt: int(a.integer(4)), Cause: cause,
 		Exchange: a.text(7), Report: in.report(a, 8),
 	}
 	switch {
 	case why == 18:
-		ev.Reason = brain.TurnedBackFull
+		ev.Reason = policy.TurnedBackFull
 	case why&15 == 1:
-		ev.Reason = brain.NoCircuit
+		ev.Reason = policy.NoCircuit
 	case why&15 == 2:
-		ev.Reason = brain.TurnedBack
+		ev.Reason = policy.TurnedBack
 	case why&15 == 3:
-		ev.Reason, ev.Wait = brain.ProcessorFull, time.Duration(why>>4)*time.Millisecond
+		ev.Reason, ev.Wait = policy.ProcessorFull, time.Duration(why>>4)*time.Millisecond
 	case why&15 == 4:
-		ev.Reason = brain.NumberBusy
+		ev.Reason = policy.NumberBusy
 	}
 	return ev
 }
 
 // appendAction writes one action as a line.
-func appendAction(b []byte, id int64, act brain.Action) []byte {
+func appendAction(b []byte, id int64, act policy.Action) []byte {
 	open := func(name string) {
 		b = append(append(append(b, `["`...), name...), `",`...)
 		b = strconv.AppendInt(b, id, 10)
@@ -283,23 +283,23 @@
 		b = append(append(b, ','), quoted...)
 	}
 	switch act := act.(type) {
-	case brain.SetUp:
+	case policy.SetUp:
 		open("Send")
 		number(act.Call)
 		ms(act.TimeOut)
 		text(act.Exchange)
-	case brain.Refuse:
+	case policy.Refuse:
 		open("Bounce")
 		number(act.Call)
 		ms(act.Wait)
-	case brain.Fail:
+	case policy.Fail:
 		open("Lose")
 		number(act.Call)
-	case brain.SetTimer:
+	case policy.SetTimer:
 		open("Sleep")
 		number(act.ID)
 		ms(act.After)
-	case brain.Subscribe:
+	case policy.Subscribe:
 		open("Tail")
 		b = append(b, ",true"...)
 	}
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -11,11 +11,11 @@
 	"github.com/rs/zerolog"
 
 	"github.com/umbergauge/umbergauge/daemon"
+	"github.com/umbergauge/umbergauge/emulator"
 	"github.com/umbergauge/umbergauge/internal/config"
 	"github.com/umbergauge/umbergauge/internal/memnet"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/record"
-	"github.com/umbergauge/umbergauge/standin"
 )
 
 const good = `
@@ -110,7 +110,7 @@
 // seconds, and the calls due meanwhile count from when they were due.
 func TestLoad(t *testing.T) {
 	for _, stall := range []time.Duration{0, 2 * time.Second} {
-		rep := offer(t, stall, standin.Ringing{})
+		rep := offer(t, stall, emulator.Ringing{})
 		k := rep.Totals
 		if k.Offered < 1200 || k.Tries != k.Offered || k.Stood+k.Refused+k.GivenUp != k.Offered || k.Causes["1"] < 250 || k.Finished+k.Cut != k.Stood {
 			t.Errorf("%+v", k)
@@ -130,7 +130,7 @@
 // Numbers that ring four seconds, one in ten unanswered: set-up counts to ACM, the answer with the ringing, and callers leave
 // when they have let it ring long enough.
 func TestLoadOfRingingNumbers(t *testing.T) {
-	rep := offer(t, 0, standin.Ringing{Median: 4 * time.Second, NoAnswer: 0.1})
+	rep := offer(t, 0, emulator.Ringing{Median: 4 * time.Second, NoAnswer: 0.1})
 	k := rep.Totals
 	if k.Stood+k.Refused+k.GivenUp+k.RangOut != k.Offered || k.RangOut+k.Causes["19"] < 60 || k.Rang < k.Stood+k.RangOut {
 		t.Errorf("%+v", k)
@@ -148,17 +148,17 @@
 }
 
 // offer runs the load against a controller and two switches in exact time.
-func offer(t *testing.T, stall time.Duration, ringing standin.Ringing) (rep Report) {
+func offer(t *testing.T, stall time.Duration, ringing emulator.Ringing) (rep Report) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &memnet.Net{}
-		w := &standin.Net{Dial: n.Dial, Listen: n.Listen, Log: record.New()}
+		w := &emulator.Net{Dial: n.Dial, Listen: n.Listen, Log: record.New()}
 		c := config.Default()
 		c.Exchange, c.Listen = 1, "127.0.0.1:0"
 		c.Classes = []config.Class{{Name: "a", Aim: 1500 * time.Millisecond, Patience: 3 * time.Second, Worth: 1}}
-		var switches []*standin.Switch
+		var switches []*emulator.Switch
 		for pc := uint32(1); pc <= 2; pc++ {
-			s := standin.NewSwitch(w, standin.SwitchConfig{PC: pc, Prefixes: []string{string(rune('0' + pc))}, Circuits: map[uint32]int{3 - pc: 2000}, Rate: 1000,
-				Ringing: map[isup.Category]standin.Ringing{10: ringing, 11: ringing}})
+			s := emulator.NewSwitch(w, emulator.SwitchConfig{PC: pc, Prefixes: []string{string(rune('0' + pc))}, Circuits: map[uint32]int{3 - pc: 2000}, Rate: 1000,
+				Ringing: map[isup.Category]emulator.Ringing{10: ringing, 11: ringing}})
 			addr, err := s.Start("127.0.0.1:0", false)
 			if err != nil {
 				t.Fatal(err)
--- a/load/parts_test.go
+++ b/load/parts_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/umbergauge/umbergauge/standin"
+	"github.com/umbergauge/umbergauge/emulator"
 )
 
 // The parts of a load are the whole: each client once, the rate shared, no two seeds alike.
@@ -37,7 +37,7 @@
 func TestMerge(t *testing.T) {
 	var parts []Report
 	for _, ringing := range []time.Duration{time.Second, 3 * time.Second} {
-		b, err := json.Marshal(offer(t, 0, standin.Ringing{Median: ringing}))
+		b, err := json.Marshal(offer(t, 0, emulator.Ringing{Median: ringing}))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/brain/brain.go
+++ b/policy/engine.go
@@ -1,10 +1,10 @@
-// Package brain decides for one call control of a mesh of exchanges. Read api.go first: it holds the
+// Package policy decides for one call control of a mesh of exchanges. Read api.go first: it holds the
 // settings, the events and the actions. This file holds every decision and every tuned value.
 //
 // The mechanism is the fuzzy window: per far processor a window of first set-ups awaiting an answer,
 // resized each step by Table I from that processor's load and from the share of its slots held. The own
 // processor has a window of the same kind.
-package brain
+package policy
 
 import (
 	"cmp"
--- a/brain/brain_test.go
+++ b/policy/engine_test.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import (
 	"fmt"
@@ -394,7 +394,7 @@
 
 // TestSize keeps the decision module within what its readers asked for.
 func TestSize(t *testing.T) {
-	text, err := os.ReadFile("brain.go")
+	text, err := os.ReadFile("engine.go")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/brain/phases_test.go
+++ b/policy/phases_test.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import (
 	"math/rand/v2"
--- a/brain/view.go
+++ b/policy/view.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import "time"
 
--- a/day/draw.go
+++ b/scenario/generate.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/umbergauge/umbergauge/standin"
+	"github.com/umbergauge/umbergauge/emulator"
 )
 
 // ring gives a day ringing numbers and, unless it is quiet, mostly thin faults too. Its chance is a stream of its own, so
@@ -18,7 +18,7 @@
 	for i := range d.Traffic.Classes {
 		c := &d.Traffic.Classes[i]
 		c.Ring = time.Duration(12+rng.IntN(9)) * time.Second
-		c.Ringing = standin.Ringing{Median: time.Duration(between(1.5, 5) * float64(time.Second)), Spread: between(0.3, 0.7),
+		c.Ringing = emulator.Ringing{Median: time.Duration(between(1.5, 5) * float64(time.Second)), Spread: between(0.3, 0.7),
 			NoAnswer: between(0.01, 0.05), Busy: between(0, 0.02)}
 	}
 	kinds := []Kind{ThinFull, ThinSilent, ThinReset}
@@ -31,7 +31,7 @@
 func (d Day) WithoutRinging() *Day {
 	d.Traffic.Classes = slices.Clone(d.Traffic.Classes)
 	for i := range d.Traffic.Classes {
-		d.Traffic.Classes[i].Ring, d.Traffic.Classes[i].Ringing = 0, standin.Ringing{}
+		d.Traffic.Classes[i].Ring, d.Traffic.Classes[i].Ringing = 0, emulator.Ringing{}
 	}
 	d.Troubles = slices.DeleteFunc(slices.Clone(d.Troubles), func(x Trouble) bool {
 		return x.Kind == ThinFull || x.Kind == ThinSilent || x.Kind == ThinReset
@@ -154,7 +154,7 @@
 	}
 	for i := range d.Traffic.Classes {
 		d.Traffic.Classes[i].Ring = 15 * s
-		d.Traffic.Classes[i].Ringing = standin.Ringing{Median: 3 * s, Spread: 0.5, NoAnswer: 0.03, Busy: 0.01}
+		d.Traffic.Classes[i].Ringing = emulator.Ringing{Median: 3 * s, Spread: 0.5, NoAnswer: 0.03, Busy: 0.01}
 	}
 	return &d
 }
--- a/day/phases_test.go
+++ b/scenario/phases_test.go
@@ -1,10 +1,10 @@
-package day
+package scenario
 
 import (
 	"testing"
 	"time"
 
-	"github.com/umbergauge/umbergauge/standin"
+	"github.com/umbergauge/umbergauge/emulator"
 )
 
 // A slow exchange that says ACM at once and works later: the waits of its releases show what its ACMs hide. Service to the
@@ -39,7 +39,7 @@
 		for i, size := range []float64{0.05, 0} {
 			d := QuietDay()
 			for j := range d.Traffic.Classes {
-				d.Traffic.Classes[j].Ring, d.Traffic.Classes[j].Ringing = 15*time.Second, standin.Ringing{Median: 3 * time.Second, Spread: 0.5, NoAnswer: 0.03}
+				d.Traffic.Classes[j].Ring, d.Traffic.Classes[j].Ringing = 15*time.Second, emulator.Ringing{Median: 3 * time.Second, Spread: 0.5, NoAnswer: 0.03}
 			}
 			if size > 0 {
 				d.Troubles = []Trouble{{Kind: tc.kind, At: 0, For: d.Length, Part: 1, Size: size}}
--- a/day/reset_test.go
+++ b/scenario/reset_test.go
@@ -1,14 +1,14 @@
-package day
+package scenario
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
+	"github.com/umbergauge/umbergauge/emulator"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/m3ua"
 	"github.com/umbergauge/umbergauge/record"
-	"github.com/umbergauge/umbergauge/standin"
 )
 
 // small is a day of three exchanges with so few calls that each message of a call has its place.
@@ -33,18 +33,18 @@
 						resets, seen := 0, 0
 						d := small()
 						res := play(t, d, func(o *Options) {
-							o.Fault = func(k record.Kind, fromController bool, m *m3ua.Message, u *isup.Message) standin.Fault {
+							o.Fault = func(k record.Kind, fromController bool, m *m3ua.Message, u *isup.Message) emulator.Fault {
 								if k != kind || fromController != in || u == nil || u.Type != typ {
-									return standin.Pass
+									return emulator.Pass
 								}
 								if seen++; seen%7 != 0 { // else nothing would ever stand
-									return standin.Pass
+									return emulator.Pass
 								}
 								resets++
 								if before {
-									return standin.ResetBefore
+									return emulator.ResetBefore
 								}
-								return standin.ResetAfter
+								return emulator.ResetAfter
 							}
 						})
 						if seen >= 7 && resets == 0 {
--- a/day/play.go
+++ b/scenario/run.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -14,16 +14,16 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/umbergauge/umbergauge/brain"
 	"github.com/umbergauge/umbergauge/check"
 	"github.com/umbergauge/umbergauge/controller"
 	"github.com/umbergauge/umbergauge/daemon"
+	"github.com/umbergauge/umbergauge/emulator"
 	"github.com/umbergauge/umbergauge/hooks"
 	"github.com/umbergauge/umbergauge/internal/config"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/m3ua"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/record"
-	"github.com/umbergauge/umbergauge/standin"
 )
 
 // Options are how a day is played.
@@ -31,7 +31,7 @@
 	Dial   func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP on loopback
 	Listen func(addr string) (net.Listener, error)
 	Log    zerolog.Logger
-	Module func(brain.Config) (controller.Module, error) // nil: the module
+	Module func(policy.Config) (controller.Module, error) // nil: the module
 	// Slack is what the checker allows for the time between an act and its record: 0 where time is exact.
 	Slack time.Duration
 	// Margin is added to the guard that controllers keep, beyond that of the rule, for the same reason.
@@ -40,7 +40,7 @@
 	Hooks   []hooks.Source
 	HooksOf func(exchange int) []hooks.Source
 	// Fault, if set, is asked about each frame on a stand-in's socket; u is nil where there is no ISUP message. One at a time.
-	Fault func(k record.Kind, fromController bool, m *m3ua.Message, u *isup.Message) standin.Fault
+	Fault func(k record.Kind, fromController bool, m *m3ua.Message, u *isup.Message) emulator.Fault
 	// Deadline of hooks; 0: as the settings' default.
 	Deadline time.Duration
 	// Watch, if set, is called about every second with the time of the day.
@@ -55,7 +55,7 @@
 	Seed     uint64                         `json:"seed"`
 	Report   check.Report                   `json:"report"`
 	Counters map[uint32]controller.Counters `json:"controllers"`
-	Clients  standin.ClientCounts           `json:"clients"`
+	Clients  emulator.ClientCounts          `json:"clients"`
 	Record   record.Day                     `json:"-"`
 	Spec     check.Spec                     `json:"-"`
 }
@@ -66,11 +66,11 @@
 	plan     *plan
 	opt      Options
 	log      *record.Log
-	net      *standin.Net
-	switches []*standin.Switch
+	net      *emulator.Net
+	switches []*emulator.Switch
 	addrs    [][]string // of each switch: now first
 	daemons  []*daemon.Daemon
-	clients  [][]*standin.Client // by exchange and tenant
+	clients  [][]*emulator.Client // by exchange and tenant
 	late     func(at time.Duration) time.Duration
 	wg       sync.WaitGroup
 	start    time.Time
@@ -154,7 +154,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := &world{day: d, plan: d.plan(), opt: opt, log: record.New(), listRng: d.stream(forList)}
-	w.net = &standin.Net{Dial: opt.Dial, Listen: opt.Listen, Log: w.log}
+	w.net = &emulator.Net{Dial: opt.Dial, Listen: opt.Listen, Log: w.log}
 	if opt.Fault != nil {
 		w.net.Faults = w.fault
 	}
@@ -223,13 +223,13 @@
 }
 
 // fault asks the script of faults about a frame, once the day has begun.
-func (w *world) fault(k record.Kind, fromController bool, frame []byte) standin.Fault {
+func (w *world) fault(k record.Kind, fromController bool, frame []byte) emulator.Fault {
 	w.faultMu.Lock()
 	defer w.faultMu.Unlock()
 	var m m3ua.Message
 	var u isup.Message
 	if !w.begun.Load() || m3ua.Decode(frame, &m) != nil {
-		return standin.Pass
+		return emulator.Pass
 	}
 	if m.Kind != m3ua.DATA || isup.Decode(m.Data.User, &u) != nil {
 		return w.opt.Fault(k, fromController, &m, nil)
@@ -266,7 +266,7 @@
 		}
 		return d.Fleet.Cross
 	})
-	hold, ringing := time.Duration(0), map[isup.Category]standin.Ringing{}
+	hold, ringing := time.Duration(0), map[isup.Category]emulator.Ringing{}
 	for _, c := range d.Traffic.Classes {
 		hold = max(hold, c.Hold)
 		if c.rings() {
@@ -274,7 +274,7 @@
 		}
 	}
 	for i, x := range p.exchanges {
-		s := standin.NewSwitch(w.net, standin.SwitchConfig{PC: x.pc, Prefixes: []string{x.prefix}, Circuits: x.circuits, Seed: d.stream(forSwitches).Uint64() + uint64(i),
+		s := emulator.NewSwitch(w.net, emulator.SwitchConfig{PC: x.pc, Prefixes: []string{x.prefix}, Circuits: x.circuits, Seed: d.stream(forSwitches).Uint64() + uint64(i),
 			Rate: x.rate, FollowWork: f.FollowWork, RejectWork: f.RejectWork, FullAfter: f.FullAfter, AnswersFirst: f.AnswersFirst,
 			Repeat: f.Repeat, RepeatWork: f.RepeatWork, DropGivenUp: f.DropGivenUp, Ring: f.Ring, Ringing: ringing, EarlyACM: f.EarlyACM, HangUp: f.HangUp, Hold: hold,
 			ColdShare: d.Rules.Cold.Share, WarmUp: d.Rules.Cold.WarmUp, FallMultiple: d.Rules.Cold.Multiple, FallSpan: d.Rules.Cold.Span})
@@ -314,9 +314,9 @@
 		}
 		w.daemons = append(w.daemons, dm)
 		w.own(func() { dm.Run(ctx) })
-		var row []*standin.Client
+		var row []*emulator.Client
 		for t := range max(1, len(d.Traffic.Tenants)) {
-			row = append(row, standin.NewClient(w.net, standin.ClientConfig{PC: clientPC(i, t), Controller: x.pc, Addr: dm.Addr(), Seed: d.Seed}))
+			row = append(row, emulator.NewClient(w.net, emulator.ClientConfig{PC: clientPC(i, t), Controller: x.pc, Addr: dm.Addr(), Seed: d.Seed}))
 		}
 		w.clients = append(w.clients, row)
 	}
@@ -347,7 +347,7 @@
 			return ctx.Err()
 		}
 	}
-	return errors.New("day: the fleet has not come up within ten seconds")
+	return errors.New("scenario: the fleet has not come up within ten seconds")
 }
 
 // offer hands all calls to the clients, each at its time.
@@ -356,7 +356,7 @@
 		if wait := a.at - time.Since(w.start); wait > 0 && !sleep(ctx, wait) {
 			return
 		}
-		w.clients[a.from][a.tenant].Offer(standin.Call{Calling: a.calling, Called: a.called, Category: isup.Category(w.day.Traffic.Classes[a.class].Category),
+		w.clients[a.from][a.tenant].Offer(emulator.Call{Calling: a.calling, Called: a.called, Category: isup.Category(w.day.Traffic.Classes[a.class].Category),
 			Hold: a.hold, Patience: a.patience, Ring: w.day.Traffic.Classes[a.class].Ring, Redials: a.redials, RedialAfter: a.redialing})
 	}
 	sleep(ctx, w.day.Length-time.Since(w.start))
@@ -471,7 +471,7 @@
 		sleep(ctx, x.For)
 		each(func(i int) { w.switches[i].Hang(false) })
 	case ThinFull, ThinSilent, ThinReset:
-		kind := map[Kind]standin.Thin{ThinFull: standin.ThinFull, ThinSilent: standin.ThinSilent, ThinReset: standin.ThinReset}[x.Kind]
+		kind := map[Kind]emulator.Thin{ThinFull: emulator.ThinFull, ThinSilent: emulator.ThinSilent, ThinReset: emulator.ThinReset}[x.Kind]
 		each(func(i int) { w.switches[i].Thin(kind, x.Size) })
 		sleep(ctx, x.For)
 		each(func(i int) { w.switches[i].Thin(kind, 0) })
--- a/day/day.go
+++ b/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package day plays scripted days through real call controllers, stand-in switches and clients, and has them judged by
+// Package scenario plays scripted days through real call controllers, stand-in switches and clients, and has them judged by
 // the traffic on their sockets.
-package day
+package scenario
 
 import (
 	"cmp"
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
+	"github.com/umbergauge/umbergauge/emulator"
 	"github.com/umbergauge/umbergauge/internal/config"
 	"github.com/umbergauge/umbergauge/isup"
-	"github.com/umbergauge/umbergauge/standin"
 )
 
 // Day is a script: who is there, who calls whom, and what goes wrong. docs/operations/days.md explains each key.
@@ -71,17 +71,17 @@
 
 // Class is one class of calls.
 type Class struct {
-	Name      string          `yaml:"name"`
-	Share     float64         `yaml:"share"`
-	Category  int             `yaml:"category"`
-	Aim       time.Duration   `yaml:"aim"`
-	Patience  time.Duration   `yaml:"patience"` // of one try, till it rings
-	GiveUp    time.Duration   `yaml:"give_up"`  // of the caller
-	Worth     float64         `yaml:"worth"`
-	LateWorth float64         `yaml:"late_worth"`
-	Hold      time.Duration   `yaml:"hold"`
-	Ring      time.Duration   `yaml:"ring,omitempty"` // callers let it ring so long; 0: a minute
-	Ringing   standin.Ringing `yaml:"ringing,omitempty"`
+	Name      string           `yaml:"name"`
+	Share     float64          `yaml:"share"`
+	Category  int              `yaml:"category"`
+	Aim       time.Duration    `yaml:"aim"`
+	Patience  time.Duration    `yaml:"patience"` // of one try, till it rings
+	GiveUp    time.Duration    `yaml:"give_up"`  // of the caller
+	Worth     float64          `yaml:"worth"`
+	LateWorth float64          `yaml:"late_worth"`
+	Hold      time.Duration    `yaml:"hold"`
+	Ring      time.Duration    `yaml:"ring,omitempty"` // callers let it ring so long; 0: a minute
+	Ringing   emulator.Ringing `yaml:"ringing,omitempty"`
 }
 
 // Tenant is one of the customers; each has a client at every controller.
@@ -388,7 +388,7 @@
 }
 
 // rings tells whether numbers of the class ring at all.
-func (c *Class) rings() bool { return c.Ringing != standin.Ringing{} }
+func (c *Class) rings() bool { return c.Ringing != emulator.Ringing{} }
 
 // ringPatience is how long its callers let it ring.
 func (c *Class) ringPatience() time.Duration {
--- a/day/day_test.go
+++ b/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
