--- a/admission/admission.go
+++ b/admission/admission.go
@@ -31,19 +31,19 @@
 	All    Limits
 }
 
-// Verdict is why a call is kept out, or In.
-type Verdict uint8
+// Decision is why a call is kept out, or Admitted.
+type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
-	In         Verdict = iota
-	ClientRate         // the client's own rate
-	ClientOpen         // the client's own open calls
-	WholeRate          // the whole is short and the client is beyond its fair part
-	WholeOpen
+	Admitted   Decision = iota
+	ClientRate          // the client's own rate
+	ClientOpen          // the client's own open calls
+	TotalRate           // the whole is short and the client is beyond its fair part
+	TotalOpen
 )
 
-func (v Verdict) String() string {
+func (v Decision) String() string {
 	return [...]string{"in", "client's rate", "client's open calls", "rate of all", "open calls of all"}[v]
 }
 
@@ -62,18 +62,18 @@
 
 // Client is one client's account.
 type Client struct {
-	own    bucket
-	demand float64 // set-ups a second that it asks for, decayed
-	out    float64 // ... and of them those that are kept out
-	seen   time.Duration
-	fair   bucket // its part of the whole
-	open   int
-	Kept   [5]uint64 // calls by verdict
-	level  int
-}
-
-// Door admits calls. It belongs to one goroutine.
-type Door struct {
+	own       bucket
+	demand    float64 // set-ups a second that it asks for, decayed
+	out       float64 // ... and of them those that are kept out
+	seen      time.Duration
+	fair      bucket // its part of the whole
+	open      int
+	Decisions [5]uint64 // calls by decision
+	level     int
+}
+
+// Limiter admits calls. It belongs to one goroutine.
+type Limiter struct {
 	cfg     Config
 	clients map[*Client]bool
 	whole   bucket
@@ -83,19 +83,19 @@
 }
 
 // New makes a door.
-func New(cfg Config) *Door {
-	return &Door{cfg: cfg, clients: map[*Client]bool{}, whole: bucket{tokens: cfg.All.burst()}, share: math.Inf(1)}
+func New(cfg Config) *Limiter {
+	return &Limiter{cfg: cfg, clients: map[*Client]bool{}, whole: bucket{tokens: cfg.All.burst()}, share: math.Inf(1)}
 }
 
-// Join adds a client.
-func (d *Door) Join(now time.Duration) *Client {
+// AddClient adds a client.
+func (d *Limiter) AddClient(now time.Duration) *Client {
 	c := &Client{own: bucket{d.cfg.Client.burst(), now}, seen: now, fair: bucket{0, now}}
 	d.clients[c] = true
 	return c
 }
 
-// Leave takes a client out, and its open calls with it.
-func (d *Door) Leave(c *Client) {
+// RemoveClient takes a client out, and its open calls with it.
+func (d *Limiter) RemoveClient(c *Client) {
 	if d.clients[c] {
 		delete(d.clients, c)
 		d.open -= c.open
@@ -112,11 +112,11 @@
 	fewCalls  = 4
 )
 
-// Ask judges one set-up of a client. In: the call counts as open until Done.
-func (d *Door) Ask(c *Client, now time.Duration) Verdict {
+// Admit judges one set-up of a client. Admitted: the call counts as open until Done.
+func (d *Limiter) Admit(c *Client, now time.Duration) Decision {
 	v := d.judge(c, now)
-	c.Kept[v]++
-	if v == In {
+	c.Decisions[v]++
+	if v == Admitted {
 		c.open++
 		d.open++
 	} else {
@@ -125,7 +125,7 @@
 	return v
 }
 
-func (d *Door) judge(c *Client, now time.Duration) Verdict {
+func (d *Limiter) judge(c *Client, now time.Duration) Decision {
 	c.decay(now)
 	c.demand += 1 / memory.Seconds()
 	if now >= d.next {
@@ -137,7 +137,7 @@
 		return ClientOpen
 	}
 	if all.Open > 0 && d.open >= all.Open && c.open*len(d.clients) >= all.Open {
-		return WholeOpen // beyond its part; those within theirs still come in
+		return TotalOpen // beyond its part; those within theirs still come in
 	}
 	if own.Rate > 0 {
 		c.own.fill(now, own.Rate, own.burst())
@@ -152,18 +152,18 @@
 		case c.fair.tokens >= 1: // within its part: the whole owes it that
 			c.fair.tokens--
 		case d.whole.tokens < 1 || !math.IsInf(d.share, 1):
-			return WholeRate
+			return TotalRate
 		}
 		d.whole.tokens = max(-all.burst(), d.whole.tokens-1)
 	}
 	if own.Rate > 0 {
 		c.own.tokens--
 	}
-	return In
+	return Admitted
 }
 
 // Done notes that a call that came in is over.
-func (d *Door) Done(c *Client) {
+func (d *Limiter) Done(c *Client) {
 	if c.open > 0 {
 		c.open--
 		d.open--
@@ -180,7 +180,7 @@
 
 // dealOut finds the fair part: the highest cap that, kept by every client, fits into the whole (max-min fairness). Its cost
 // is that of the clients, ten times a second at the most.
-func (d *Door) dealOut(now time.Duration) {
+func (d *Limiter) dealOut(now time.Duration) {
 	d.share = math.Inf(1)
 	if d.cfg.All.Rate <= 0 {
 		return
@@ -223,7 +223,7 @@
 // Level is the congestion level that a client is told (SCON, RFC 4666, 3.4.4): 0 while next to nothing of its calls of the
 // last seconds is kept out, 1 while less than a third, 2 while less than two, 3 beyond. changed tells that it is not the
 // level told last.
-func (d *Door) Level(c *Client, now time.Duration) (level int, changed bool) {
+func (d *Limiter) Level(c *Client, now time.Duration) (level int, changed bool) {
 	c.decay(now)
 	switch kept := c.out / max(c.demand, 1e-9); {
 	case kept <= 0.02 || c.out < 0.02:
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -13,7 +13,7 @@
 func init() { flag.Set("rapid.seed", "1") }
 
 // offer lets clients ask at their rates for a while, in steps of a millisecond, and counts who gets in each second.
-func offer(d *Door, rates []float64, span time.Duration, hold time.Duration) []float64 {
+func offer(d *Limiter, rates []float64, span time.Duration, hold time.Duration) []float64 {
 	clients := make([]*Client, len(rates))
 	due := make([]float64, len(rates))
 	in := make([]float64, len(rates))
@@ -23,7 +23,7 @@
 	}
 	var ends []end
 	for i := range rates {
-		clients[i] = d.Join(0)
+		clients[i] = d.AddClient(0)
 	}
 	for now := time.Millisecond; now <= span; now += time.Millisecond {
 		for len(ends) > 0 && ends[0].at <= now {
@@ -32,7 +32,7 @@
 		}
 		for i, r := range rates {
 			for due[i] += r / 1000; due[i] >= 1; due[i]-- {
-				if d.Ask(clients[i], now) == In {
+				if d.Admit(clients[i], now) == Admitted {
 					if now > span/2 { // once it has settled
 						in[i]++
 					}
@@ -69,18 +69,18 @@
 		t.Errorf("%.1f", in)
 	}
 	d := New(Config{Client: Limits{Open: 5}})
-	c := d.Join(0)
+	c := d.AddClient(0)
 	for i := range 10 {
-		if v := d.Ask(c, time.Second); (v == In) != (i < 5) || i >= 5 && v != ClientOpen {
+		if v := d.Admit(c, time.Second); (v == Admitted) != (i < 5) || i >= 5 && v != ClientOpen {
 			t.Fatalf("call %d: %v", i, v)
 		}
 	}
 	d.Done(c)
-	if d.Ask(c, time.Second) != In {
+	if d.Admit(c, time.Second) != Admitted {
 		t.Error("a place that came free is not given")
 	}
-	d.Leave(c)
-	d.Leave(c)
+	d.RemoveClient(c)
+	d.RemoveClient(c)
 	if d.open != 0 {
 		t.Errorf("%d open", d.open)
 	}
@@ -89,26 +89,26 @@
 // When open calls of all are short, one who holds more than its part gets no more, and the others do.
 func TestOpenCallsAreShared(t *testing.T) {
 	d := New(Config{All: Limits{Open: 100}})
-	greedy, other := d.Join(0), d.Join(0)
+	greedy, other := d.AddClient(0), d.AddClient(0)
 	for range 200 {
-		d.Ask(greedy, time.Second)
+		d.Admit(greedy, time.Second)
 	}
 	if greedy.Open() != 100 {
 		t.Errorf("%d open with nobody else there", greedy.Open())
 	}
-	if d.Ask(other, time.Second) != In || d.Ask(greedy, time.Second) != WholeOpen {
+	if d.Admit(other, time.Second) != Admitted || d.Admit(greedy, time.Second) != TotalOpen {
 		t.Error("the greedy one keeps the other out")
 	}
 }
 
 func TestLevels(t *testing.T) {
 	d := New(Config{Client: Limits{Rate: 100, Burst: 10}})
-	c := d.Join(0)
+	c := d.AddClient(0)
 	now := time.Duration(0)
 	ask := func(rate float64, span time.Duration) {
 		for end := now + span; now < end; {
 			now += time.Duration(float64(time.Second) / rate)
-			d.Ask(c, now)
+			d.Admit(c, now)
 		}
 	}
 	for _, x := range []struct {
@@ -174,16 +174,16 @@
 	})
 }
 
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkAdmit(b *testing.B) {
 	d := New(Config{Client: Limits{Rate: 1e6, Open: 1 << 30}, All: Limits{Rate: 1e6}})
 	var cs []*Client
 	for range 500 {
-		cs = append(cs, d.Join(0))
+		cs = append(cs, d.AddClient(0))
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		c := cs[i%500]
-		if d.Ask(c, time.Duration(i)*time.Microsecond) == In {
+		if d.Admit(c, time.Duration(i)*time.Microsecond) == Admitted {
 			d.Done(c)
 		}
 	}
--- a/bench/soak.go
+++ b/bench/soak.go
@@ -28,7 +28,7 @@
 	Rate      float64       // calls a second
 	Exchanges int
 	Seed      uint64
-	Calm      bool // no faults
+	NoFaults  bool // no faults
 	Program   string
 }
 
@@ -59,7 +59,7 @@
 	var nd net.Dialer
 	log := record.New()
 	log.Discard()
-	sn := &emulator.Net{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
+	sn := &emulator.Network{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
 		Dial: func(ctx context.Context, a string) (net.Conn, error) { return nd.DialContext(ctx, "tcp", a) }}
 	var switches []*emulator.Switch
 	defer func() {
@@ -89,8 +89,8 @@
 			Rate: 2 * o.Rate / float64(o.Exchanges-1), FollowWork: 0.3, RejectWork: 0.1, FullAfter: 2 * time.Second, HangUp: 0.3, Hold: 2 * time.Second,
 			ColdShare: 0.3, WarmUp: 15 * time.Second,
 			Ringing: map[isup.Category]emulator.Ringing{10: {Median: time.Second, Spread: 0.5, NoAnswer: 0.02, Busy: 0.01}}})
-		s.Thin(emulator.ThinFull, 0.01)
-		s.Thin(emulator.ThinSilent, 0.01)
+		s.SetCallFault(emulator.CallFaultFull, 0.01)
+		s.SetCallFault(emulator.CallFaultSilent, 0.01)
 		switches = append(switches, s)
 		a, err := s.Start("127.0.0.1:0", false)
 		if err != nil {
@@ -138,7 +138,7 @@
 		case <-ctx.Done():
 			return res, ctx.Err()
 		case <-fault.C:
-			if o.Calm || time.Since(begin) > o.Span-20*time.Second {
+			if o.NoFaults || time.Since(begin) > o.Span-20*time.Second {
 				continue // the end is calm, so that what is left shows
 			}
 			res.Faults++
@@ -159,7 +159,7 @@
 				s.CutCalls(0.5)
 			case 4:
 				s.Stop()
-				switches[0].Tell(m3ua.DUNA, pc)
+				switches[0].SendStatus(m3ua.DUNA, pc)
 				later(func() {
 					for range 50 {
 						if _, err := s.Start(addrs[i], true); err == nil {
@@ -167,7 +167,7 @@
 						}
 						time.Sleep(100 * time.Millisecond)
 					}
-					switches[0].Tell(m3ua.DAVA, pc)
+					switches[0].SendStatus(m3ua.DAVA, pc)
 				})
 			}
 		case <-sample.C:
--- a/check/check.go
+++ b/check/check.go
@@ -17,15 +17,15 @@
 type Spec struct {
 	Guard      time.Duration
 	DrainGrace time.Duration
-	Cold       Cold
+	ColdStart  ColdStart
 	Classes    []Class
 	Exchange   func(number string) (uint32, bool) // behind a number
 	// Slack is allowed for the time between a controller's act and the record of it, and for its knowing of something.
 	Slack time.Duration
 }
 
-// Cold is when a fresh switch is pushed over.
-type Cold struct {
+// ColdStart is when a fresh switch is pushed over.
+type ColdStart struct {
 	Share    float64 // of its capacity, right after the start
 	WarmUp   time.Duration
 	Multiple float64
@@ -44,8 +44,8 @@
 	LateWorth float64
 }
 
-// Finding is one broken rule.
-type Finding struct {
+// Violation is one broken rule.
+type Violation struct {
 	Rule       int           `json:"rule"` // 1 to 5; 6: two calls on one circuit
 	At         time.Duration `json:"at"`
 	Controller uint32        `json:"controller"`
@@ -53,7 +53,7 @@
 	What       string        `json:"what"`
 }
 
-func (f Finding) String() string {
+func (f Violation) String() string {
 	return fmt.Sprintf("rule %d at %.3f s, controller %d, call %s: %s", f.Rule, f.At.Seconds(), f.Controller, f.Call, f.What)
 }
 
@@ -72,8 +72,8 @@
 	s.Share = s.Earned / s.Worth
 }
 
-// TroubleService is the service of calls first offered while a trouble lasted.
-type TroubleService struct {
+// FaultService is the service of calls first offered while a trouble lasted.
+type FaultService struct {
 	Name    string        `json:"name"`
 	From    time.Duration `json:"from"`
 	Span    time.Duration `json:"span"`
@@ -88,13 +88,13 @@
 	WorstFrom   time.Duration      `json:"worst_10s_from"`
 	WorstClass  string             `json:"worst_class"`
 	Classes     map[string]Service `json:"classes"`
-	Troubles    []TroubleService   `json:"troubles"`
-	Broken      []Finding          `json:"broken"`
+	Faults      []FaultService     `json:"troubles"`
+	Violations  []Violation        `json:"broken"`
 	Tries       int                `json:"tries"`
-	Stood       int                `json:"stood"`
+	Answered    int                `json:"stood"`
 	Refused     int                `json:"refused_or_failed"`
-	GivenUp     int                `json:"given_up"`
-	Rang        int                `json:"rang"`
+	Abandoned   int                `json:"given_up"`
+	Alerted     int                `json:"rang"`
 	NoAnswer    int                `json:"no_answer"` // callers whom nobody answered, in no service
 	Cut         int                `json:"cut"`
 	Attempts    int                `json:"attempts"`
@@ -198,7 +198,7 @@
 
 type judge struct {
 	spec     Spec
-	day      record.Day
+	day      record.Recording
 	report   Report
 	tries    []*try
 	byRef    map[ref]*try
@@ -208,7 +208,7 @@
 	transits map[circuitKey]*transit // by the own controller and the exchange that it came from
 	told     map[wayKey]time.Duration
 	cold     map[uint32]*coldSwitch
-	held     map[uint32][]record.Mark
+	held     map[uint32][]record.Event
 	marks    int
 	closing  []int32 // links by the time of their end
 	delays   []time.Duration
@@ -222,11 +222,11 @@
 	broken bool
 }
 
-// Judge reads a day's record.
-func Judge(day record.Day, spec Spec) Report {
+// Evaluate reads a day's record.
+func Evaluate(day record.Recording, spec Spec) Report {
 	j := &judge{spec: spec, day: day, byRef: map[ref]*try{}, legs: map[legKey]*try{}, attempts: map[attemptKey][]*attempt{},
 		circuits: map[circuitKey]*attempt{}, transits: map[circuitKey]*transit{}, told: map[wayKey]time.Duration{},
-		cold: map[uint32]*coldSwitch{}, held: map[uint32][]record.Mark{}}
+		cold: map[uint32]*coldSwitch{}, held: map[uint32][]record.Event{}}
 	j.report.Classes = map[string]Service{}
 	j.spec.Classes = slices.Clone(spec.Classes)
 	for i := range j.spec.Classes {
@@ -240,8 +240,8 @@
 		}
 	}
 	slices.SortStableFunc(j.closing, func(a, b int32) int { return cmp.Compare(day.Links[a].Closed, day.Links[b].Closed) })
-	for _, m := range day.Marks {
-		if m.Kind == record.Held {
+	for _, m := range day.Events {
+		if m.Kind == record.Stalled {
 			j.held[m.PC] = append(j.held[m.PC], m)
 		}
 	}
@@ -279,13 +279,13 @@
 }
 
 func (j *judge) broken(rule int, at time.Duration, controller uint32, r ref, format string, args ...any) {
-	j.report.Broken = append(j.report.Broken, Finding{rule, at, controller, r.String(), fmt.Sprintf(format, args...)})
+	j.report.Violations = append(j.report.Violations, Violation{rule, at, controller, r.String(), fmt.Sprintf(format, args...)})
 }
 
 // upTo plays marks and ends of links up to a time.
 func (j *judge) upTo(t time.Duration) {
-	for ; j.marks < len(j.day.Marks) && j.day.Marks[j.marks].At <= t; j.marks++ {
-		switch m := j.day.Marks[j.marks]; {
+	for ; j.marks < len(j.day.Events) && j.day.Events[j.marks].At <= t; j.marks++ {
+		switch m := j.day.Events[j.marks]; {
 		case m.Kind == record.Started && m.Cold:
 			j.cold[m.PC] = &coldSwitch{at: m.At, rate: m.Value}
 		case m.Kind == record.Started:
@@ -389,7 +389,7 @@
 			c.left = f.At
 			if c.answer == none {
 				if c.rangAt == 0 {
-					j.report.GivenUp++
+					j.report.Abandoned++
 				}
 				if j.overdue(c, f.At) >= 0 && !j.excused(c, f.At) {
 					j.broken(1, f.At, l.Controller, c.ref, "no final answer before its caller gave up after %v", f.At-c.at)
@@ -412,7 +412,7 @@
 			j.broken(1, f.At, l.Controller, c.ref, "%v after its end", m.Type)
 		} else if c.rangAt == 0 {
 			c.rangAt = f.At
-			j.report.Rang++
+			j.report.Alerted++
 			if !slices.ContainsFunc(j.attempts[attemptKey{c.ref, l.Controller}], func(a *attempt) bool { return a.rang }) {
 				j.broken(1, f.At, l.Controller, c.ref, "%v though no switch has said so: its caller waits for nothing", m.Type)
 			}
@@ -425,7 +425,7 @@
 		c.answer, c.answerAt = stands, f.At
 		j.delays = append(j.delays, c.setUpAt()-c.at)
 		j.answers = append(j.answers, f.At-c.at)
-		j.report.Stood++
+		j.report.Answered++
 	case isup.REL:
 		switch {
 		case c.over || c.repeated || c.answer == refused:
@@ -566,16 +566,16 @@
 	if t, known := j.told[k.wayKey]; known && at > t+j.spec.DrainGrace+j.spec.Slack {
 		j.broken(3, at, k.controller, r, "sent to %d %v after word that it drains or is gone", k.sw, at-t)
 	}
-	if c := j.cold[k.sw]; c != nil && at < c.at+j.spec.Cold.WarmUp && j.spec.Cold.Multiple > 0 {
+	if c := j.cold[k.sw]; c != nil && at < c.at+j.spec.ColdStart.WarmUp && j.spec.ColdStart.Multiple > 0 {
 		c.recent = append(c.recent, at)
-		for at-c.recent[0] > j.spec.Cold.Span {
+		for at-c.recent[0] > j.spec.ColdStart.Span {
 			c.recent = c.recent[1:]
 		}
-		part := float64(at-c.at) / float64(j.spec.Cold.WarmUp)
-		limit := j.spec.Cold.Multiple * c.rate * (j.spec.Cold.Share + (1-j.spec.Cold.Share)*part) * j.spec.Cold.Span.Seconds()
+		part := float64(at-c.at) / float64(j.spec.ColdStart.WarmUp)
+		limit := j.spec.ColdStart.Multiple * c.rate * (j.spec.ColdStart.Share + (1-j.spec.ColdStart.Share)*part) * j.spec.ColdStart.Span.Seconds()
 		if float64(len(c.recent)) > limit && !c.broken {
 			c.broken = true
-			j.broken(4, at, k.controller, r, "%d set-ups within %v reached switch %d, started %v before; %.0f can be", len(c.recent), j.spec.Cold.Span, k.sw, at-c.at, limit)
+			j.broken(4, at, k.controller, r, "%d set-ups within %v reached switch %d, started %v before; %.0f can be", len(c.recent), j.spec.ColdStart.Span, k.sw, at-c.at, limit)
 		}
 	}
 	if b := j.circuits[circuitKey{wayKey{k.sw, k.controller}, k.cic}]; b != nil && b.state == out {
@@ -658,7 +658,7 @@
 			j.broken(1, j.day.End, k.controller, t.ref, "in transit: neither answered nor released")
 		}
 	}
-	slices.SortStableFunc(j.report.Broken, func(a, b Finding) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(j.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	j.service()
 	for _, x := range []struct {
 		of []time.Duration
@@ -728,18 +728,18 @@
 			}
 		}
 	}
-	for _, m := range j.day.Marks {
-		if m.Kind != record.Trouble {
+	for _, m := range j.day.Events {
+		if m.Kind != record.Fault {
 			continue
 		}
-		t := TroubleService{Name: m.Name, From: m.At, Span: m.Span}
+		t := FaultService{Name: m.Name, From: m.At, Span: m.Span}
 		for _, in := range order {
 			if in.first.at >= m.At && in.first.at < m.At+m.Span && !j.nobody(in) {
 				cl := j.spec.Classes[in.first.class]
 				t.Service.add(cl.Worth, cl.Worth*j.earned(in, cl, (*try).setUpAt))
 			}
 		}
-		j.report.Troubles = append(j.report.Troubles, t)
+		j.report.Faults = append(j.report.Faults, t)
 	}
 }
 
--- a/check/check_test.go
+++ b/check/check_test.go
@@ -18,7 +18,7 @@
 )
 
 var spec = Spec{
-	Guard: 200 * ms, DrainGrace: sec, Cold: Cold{0.4, 15 * sec, 2, 3 * sec}, Slack: 5 * ms,
+	Guard: 200 * ms, DrainGrace: sec, ColdStart: ColdStart{0.4, 15 * sec, 2, 3 * sec}, Slack: 5 * ms,
 	Classes: []Class{{"a", isup.CategoryOrdinary, 1500 * ms, 3 * sec, 12 * sec, 9 * sec, 1, 0.25}, {"b", isup.CategoryPriority, sec, 2 * sec, 12 * sec, 6 * sec, 5, 0.25}},
 	Exchange: func(n string) (uint32, bool) {
 		switch {
@@ -35,7 +35,7 @@
 
 // script builds a record by hand: controller 1 with a client, its own switch, and the switches 2 and 3.
 type script struct {
-	d record.Day
+	d record.Recording
 }
 
 const (
@@ -46,7 +46,7 @@
 )
 
 func newScript() *script {
-	return &script{record.Day{Links: []record.Link{{Kind: record.ClientLink, Controller: 1}, {Kind: record.OwnLink, Controller: 1, Switch: 1},
+	return &script{record.Recording{Links: []record.Link{{Kind: record.ClientLink, Controller: 1}, {Kind: record.OwnLink, Controller: 1, Switch: 1},
 		{Kind: record.FarLink, Controller: 1, Switch: 2}, {Kind: record.FarLink, Controller: 1, Switch: 3}}, End: 30 * sec}}
 }
 
@@ -112,7 +112,7 @@
 		"it stands after 10 s":      {newScript().rings(sec, 1, 1).from(11*sec, two, msg(isup.ANM, 1)).to(11*sec+ms, client, msg(isup.ANM, 1)), 0, 1},
 	} {
 		r := c.s.judge()
-		if len(r.Broken) > 0 || r.NoAnswer != c.nobody || r.Whole.Earned != c.answered || r.Whole.Calls != 1-c.nobody || r.ToAnswer.Earned > 0.3 {
+		if len(r.Violations) > 0 || r.NoAnswer != c.nobody || r.Whole.Earned != c.answered || r.Whole.Calls != 1-c.nobody || r.ToAnswer.Earned > 0.3 {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
@@ -133,7 +133,7 @@
 
 func (s *script) judge() Report {
 	slices.SortStableFunc(s.d.Frames, func(a, b record.Frame) int { return int(a.At - b.At) })
-	return Judge(s.d, spec)
+	return Evaluate(s.d, spec)
 }
 
 func TestCleanRecordsPass(t *testing.T) {
@@ -153,17 +153,17 @@
 		"in service again": newScript().list(sec, m3ua.DUNA, 2).list(4*sec, m3ua.DAVA, 2).refused(5*sec, 1, 1),
 		"in transit":       newScript().from(sec, own, iam(1, 5, "3001")).to(sec+ms, three, iam(1, 1, "3001")).from(sec+50*ms, three, rel(1, 17)).to(sec+51*ms, own, rel(5, 17)),
 	} {
-		if r := s.judge(); len(r.Broken) > 0 {
-			t.Errorf("%s: %v", name, r.Broken)
+		if r := s.judge(); len(r.Violations) > 0 {
+			t.Errorf("%s: %v", name, r.Violations)
 		}
 	}
 }
 
 // Each rule broken in several ways: every one is found, under its number.
-func TestDoctoredRecordsAreFound(t *testing.T) {
+func TestTamperedRecordsAreReported(t *testing.T) {
 	cold := func(n int, warm bool) *script {
 		s := newScript()
-		s.d.Marks = []record.Mark{{At: sec, Kind: record.Started, PC: 2, Cold: true, Value: 10}}
+		s.d.Events = []record.Event{{At: sec, Kind: record.Started, PC: 2, Cold: true, Value: 10}}
 		at := 1500 * ms
 		if warm {
 			at = 16500 * ms
@@ -173,11 +173,11 @@
 		}
 		return s
 	}
-	if r := cold(25, false).judge(); len(r.Broken) > 0 {
-		t.Errorf("25 set-ups are no push: %v", r.Broken)
+	if r := cold(25, false).judge(); len(r.Violations) > 0 {
+		t.Errorf("25 set-ups are no push: %v", r.Violations)
 	}
-	if r := cold(60, true).judge(); len(r.Broken) > 0 {
-		t.Errorf("a warm switch: %v", r.Broken)
+	if r := cold(60, true).judge(); len(r.Violations) > 0 {
+		t.Errorf("a warm switch: %v", r.Violations)
 	}
 	for _, c := range []struct {
 		name string
@@ -229,10 +229,10 @@
 		{"two calls on one circuit", 6, glare()},
 	} {
 		r := c.s.judge()
-		if len(r.Broken) == 0 {
+		if len(r.Violations) == 0 {
 			t.Errorf("%s: not found", c.name)
 		}
-		for _, f := range r.Broken {
+		for _, f := range r.Violations {
 			if f.Rule != c.rule {
 				t.Errorf("%s: found as %v", c.name, f)
 			}
@@ -260,18 +260,18 @@
 // What is excused: the time while the controller stood still, and a connection that broke.
 func TestExcuses(t *testing.T) {
 	s := newScript().timedOut(sec, 1, 1).from(4*sec, client, rel(1, 16)).to(4*sec+ms, client, msg(isup.RLC, 1))
-	s.d.Marks = []record.Mark{{At: 3 * sec, Kind: record.Held, PC: 1, Span: 2 * sec}}
-	if r := s.judge(); len(r.Broken) > 0 {
-		t.Errorf("a controller that stood still: %v", r.Broken)
+	s.d.Events = []record.Event{{At: 3 * sec, Kind: record.Stalled, PC: 1, Span: 2 * sec}}
+	if r := s.judge(); len(r.Violations) > 0 {
+		t.Errorf("a controller that stood still: %v", r.Violations)
 	}
-	s.d.Marks[0].PC = 2
-	if r := s.judge(); len(r.Broken) == 0 {
+	s.d.Events[0].PC = 2
+	if r := s.judge(); len(r.Violations) == 0 {
 		t.Error("another controller's stop excuses this one")
 	}
 	s = newScript().timedOut(sec, 1, 1)
 	s.d.Links[client].Closed = 2 * sec
-	if r := s.judge(); len(r.Broken) > 0 {
-		t.Errorf("a client that is gone: %v", r.Broken)
+	if r := s.judge(); len(r.Violations) > 0 {
+		t.Errorf("a client that is gone: %v", r.Violations)
 	}
 }
 
@@ -291,10 +291,10 @@
 	// Call 7 is cut and does not come again.
 	s.from(11*sec, client, iam(7, 7, "2001")).to(11010*ms, two, iam(7, 17, "2001")).from(11040*ms, two, msg(isup.CON, 17)).to(11050*ms, client, msg(isup.CON, 7)).
 		from(12*sec, two, rel(17, 41)).to(12*sec, client, rel(7, 41))
-	s.d.Marks = []record.Mark{{At: 10500 * ms, Kind: record.Trouble, Name: "x", Span: sec}}
+	s.d.Events = []record.Event{{At: 10500 * ms, Kind: record.Fault, Name: "x", Span: sec}}
 	r := s.judge()
-	if len(r.Broken) > 0 {
-		t.Fatal(r.Broken)
+	if len(r.Violations) > 0 {
+		t.Fatal(r.Violations)
 	}
 	if r.Whole.Worth != 9 || r.Whole.Earned != 1+0.25+5 || r.Whole.Calls != 5 {
 		t.Errorf("%+v", r.Whole)
@@ -305,8 +305,8 @@
 	if r.WorstWindow.Share != 0 || r.WorstFrom != 10*sec {
 		t.Errorf("%+v from %v", r.WorstWindow, r.WorstFrom)
 	}
-	if len(r.Troubles) != 1 || r.Troubles[0].Service.Calls != 1 || r.Troubles[0].Service.Share != 0 {
-		t.Errorf("%+v", r.Troubles)
+	if len(r.Faults) != 1 || r.Faults[0].Service.Calls != 1 || r.Faults[0].Service.Share != 0 {
+		t.Errorf("%+v", r.Faults)
 	}
 }
 
--- a/check/trace.go
+++ b/check/trace.go
@@ -12,7 +12,7 @@
 
 // Trace writes the recorded frames that keep, one a line, for people who look for a cause. m is only good for one call;
 // its ISUP part is nil for management messages.
-func Trace(w io.Writer, day record.Day, keep func(l record.Link, m *m3ua.Message, u *isup.Message) bool) {
+func Trace(w io.Writer, day record.Recording, keep func(l record.Link, m *m3ua.Message, u *isup.Message) bool) {
 	var m m3ua.Message
 	var u isup.Message
 	for _, f := range day.Frames {
--- a/cmd/umbergauge/bench.go
+++ b/cmd/umbergauge/bench.go
@@ -95,7 +95,7 @@
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(res)
 			}
 			t := res.Load.Totals
-			fmt.Fprintf(cmd.OutOrStdout(), "%d faults; offered %d, tries %d: stood %d, refused %d, given up %d, cut %d\n", res.Faults, t.Offered, t.Tries, t.Stood, t.Refused, t.GivenUp, t.Cut)
+			fmt.Fprintf(cmd.OutOrStdout(), "%d faults; offered %d, tries %d: stood %d, refused %d, given up %d, cut %d\n", res.Faults, t.Offered, t.Tries, t.Answered, t.Refused, t.Abandoned, t.Cut)
 			q := res.Load.SetUpUS
 			fmt.Fprintf(cmd.OutOrStdout(), "set-up from when a call was due, stand-in switch included: p50 %d p99 %d p99.9 %d us\n", q.P50, q.P99, q.P999)
 			return nil
@@ -106,7 +106,7 @@
 	f.DurationVar(&so.Every, "every", time.Minute, "between samples")
 	f.Float64Var(&so.Rate, "rate", 200, "calls a second")
 	f.IntVar(&so.Exchanges, "exchanges", 6, "exchanges, the own one included")
-	f.BoolVar(&so.Calm, "calm", false, "make no faults")
+	f.BoolVar(&so.NoFaults, "calm", false, "make no faults")
 	f.Uint64Var(&so.Seed, "seed", 1, "of load and faults")
 	f.BoolVar(&asJSON, "json", false, "print JSON")
 	var span time.Duration
--- a/cmd/umbergauge/day.go
+++ b/cmd/umbergauge/day.go
@@ -51,7 +51,7 @@
 				_, err = cmd.OutOrStdout().Write(b)
 				return err
 			}
-			opt := scenario.Options{Log: zerolog.Nop(), Slack: slack, Margin: margin}
+			opt := scenario.Options{Log: zerolog.Nop(), Slack: slack, GuardMargin: margin}
 			if verbose {
 				opt.Log = zerolog.New(zerolog.ConsoleWriter{Out: os.Stderr, TimeFormat: time.StampMilli}).With().Timestamp().Logger()
 			}
@@ -62,12 +62,12 @@
 				d = d.WithoutRinging()
 			}
 			if plainly {
-				opt.Module = baseline.New
+				opt.Engine = baseline.New
 			}
 			if !asJSON {
-				fmt.Fprintf(cmd.ErrOrStderr(), "playing %s, seed %d: %d exchanges, %v, %d troubles\n", d.Name, d.Seed, d.Fleet.Exchanges, d.Length, len(d.Troubles))
+				fmt.Fprintf(cmd.ErrOrStderr(), "playing %s, seed %d: %d exchanges, %v, %d troubles\n", d.Name, d.Seed, d.Network.Exchanges, d.Length, len(d.Faults))
 			}
-			res, err := scenario.Play(cmd.Context(), d, opt)
+			res, err := scenario.Run(cmd.Context(), d, opt)
 			if err != nil {
 				return short{err}
 			}
@@ -83,7 +83,7 @@
 			} else {
 				report(cmd.OutOrStdout(), res)
 			}
-			if n := len(res.Report.Broken); n > 0 {
+			if n := len(res.Report.Violations); n > 0 {
 				return fellShort("%d times a rule was broken", n)
 			}
 			return nil
@@ -103,15 +103,15 @@
 	return c
 }
 
-func pickDay(args []string, draw bool, seed uint64, kind string) (*scenario.Day, error) {
+func pickDay(args []string, draw bool, seed uint64, kind string) (*scenario.Scenario, error) {
 	if draw {
 		if len(args) > 0 {
 			return nil, fmt.Errorf("--draw takes no file")
 		}
-		return scenario.Draw(seed, kind)
+		return scenario.Generate(seed, kind)
 	}
 	if len(args) == 0 {
-		return scenario.BadDay(), nil
+		return scenario.OverlappingFaults(), nil
 	}
 	if d := scenario.Builtin(args[0]); d != nil {
 		return d, nil
@@ -124,7 +124,7 @@
 }
 
 // traceCall shows the IAMs of a call and all that happened on their circuits.
-func traceCall(w io.Writer, rec record.Day, call string) {
+func traceCall(w io.Writer, rec record.Recording, call string) {
 	type circuit struct {
 		a, b uint32
 		cic  uint16
@@ -154,21 +154,21 @@
 		}
 		fmt.Fprintf(w, "  %-13s %6.3f of %d calls%s\n", name, r.Classes[name].Share, r.Classes[name].Calls, mark)
 	}
-	if len(r.Troubles) > 0 {
+	if len(r.Faults) > 0 {
 		fmt.Fprintln(w, "\ncalls offered during")
-		for _, t := range r.Troubles {
+		for _, t := range r.Faults {
 			fmt.Fprintf(w, "  %-18s %6.3f of %4d calls, %v from %v on\n", t.Name, t.Service.Share, t.Service.Calls, t.Span, t.From.Round(100*time.Millisecond))
 		}
 	}
-	fmt.Fprintf(w, "\ntries %d: stood %d, refused or failed %d, given up %d, cut %d\n", r.Tries, r.Stood, r.Refused, r.GivenUp, r.Cut)
+	fmt.Fprintf(w, "\ntries %d: stood %d, refused or failed %d, given up %d, cut %d\n", r.Tries, r.Answered, r.Refused, r.Abandoned, r.Cut)
 	fmt.Fprintf(w, "attempts %d, of them by tandem %d; dual seizures %d; frames %d\n", r.Attempts, r.Tandem, r.Dual, r.Frames)
 	fmt.Fprintf(w, "set-up time to ACM p50 %.0f ms, p99 %.0f ms, longest %.0f ms; to the answer p50 %.0f ms, p99 %.0f ms\n",
 		r.DelaysMS[0], r.DelaysMS[1], r.DelaysMS[2], r.AnswersMS[0], r.AnswersMS[1])
-	fmt.Fprintf(w, "rang %d; nobody answered %d callers (in no service); service if the aim ran to the answer %.3f\n", r.Rang, r.NoAnswer, r.ToAnswer.Share)
-	fmt.Fprintf(w, "\nrules broken: %d\n", len(r.Broken))
-	for i, f := range r.Broken {
+	fmt.Fprintf(w, "rang %d; nobody answered %d callers (in no service); service if the aim ran to the answer %.3f\n", r.Alerted, r.NoAnswer, r.ToAnswer.Share)
+	fmt.Fprintf(w, "\nrules broken: %d\n", len(r.Violations))
+	for i, f := range r.Violations {
 		if i == 20 {
-			fmt.Fprintf(w, "  ... and %d more\n", len(r.Broken)-i)
+			fmt.Fprintf(w, "  ... and %d more\n", len(r.Violations)-i)
 			break
 		}
 		fmt.Fprintf(w, "  %v\n", f)
--- a/cmd/umbergauge/load.go
+++ b/cmd/umbergauge/load.go
@@ -66,8 +66,8 @@
 				return e.Encode(rep)
 			}
 			t := rep.Totals
-			fmt.Fprintf(w, "offered %d (%.1f a second), tries %d: rang %d, stood %d, refused %d, given up %d, left while it rang %d\n", t.Offered, rep.Reached, t.Tries, t.Rang, t.Stood, t.Refused, t.GivenUp, t.RangOut)
-			fmt.Fprintf(w, "of those that stood: finished %d, cut %d; congestion told %d times; not connected %d, no circuit %d\n", t.Finished, t.Cut, t.CongestionTold, t.NotConnected, t.NoCircuit)
+			fmt.Fprintf(w, "offered %d (%.1f a second), tries %d: rang %d, stood %d, refused %d, given up %d, left while it rang %d\n", t.Offered, rep.OfferedPerSecond, t.Tries, t.Alerted, t.Answered, t.Refused, t.Abandoned, t.AbandonedRinging)
+			fmt.Fprintf(w, "of those that stood: finished %d, cut %d; congestion told %d times; not connected %d, no circuit %d\n", t.Finished, t.Cut, t.CongestionReports, t.NotConnected, t.NoCircuit)
 			for _, k := range slices.Sorted(maps.Keys(t.Causes)) {
 				fmt.Fprintf(w, "  cause %-4s %d\n", k, t.Causes[k])
 			}
--- a/cmd/umbergauge/script.go
+++ b/cmd/umbergauge/script.go
@@ -122,7 +122,7 @@
 				var a hooks.Advice
 				r.Run(s, x.Hook, &ev, time.Hour, &a)
 				fmt.Fprintf(cmd.OutOrStdout(), "%d %s: refuse %d, class %q, tenant %q, rewrite %q, exclude %v, treat_as %d, tags %q, logs %v, failed %v\n",
-					i+1, x.Hook, a.Refuse, a.Class, a.Tenant, a.Rewrite, a.Exclude, a.Treat, a.Tags, a.Logs, a.Failed)
+					i+1, x.Hook, a.Refuse, a.Class, a.Tenant, a.Rewrite, a.Exclude, a.TreatAs, a.Tags, a.Logs, a.Failed)
 			}
 			if err := s.Check(list); err != nil {
 				return short{err}
--- a/controller/calls.go
+++ b/controller/calls.go
@@ -123,8 +123,8 @@
 // newCall makes a call from an IAM; nil with the cause if it cannot be taken at all. With hooks on arrival the number may
 // still change, and leads nowhere only when they have had it.
 func (c *Core) newCall(m *isup.Message, transit bool, set *hooks.Set) (*call, isup.Cause) {
-	switch isup.Unknown(m, transit) {
-	case isup.Discard, isup.Release:
+	switch isup.CheckUnknown(m, transit) {
+	case isup.Discard, isup.ReleaseCall:
 		return nil, isup.CauseUnknownPar
 	}
 	dest, cause := c.destination(m.Called)
@@ -171,9 +171,9 @@
 // congestion level of its client (Q.763, 3.4), and the client is told by SCON when that changes.
 func (c *Core) keptOut(l *leg) bool {
 	a := l.assoc
-	v := c.door.Ask(a.door, c.now)
-	if v == admission.In && a.peer.Tenant < len(c.accounts) {
-		if v = c.tenants.Ask(c.accounts[a.peer.Tenant], c.now); v != admission.In {
+	v := c.door.Admit(a.door, c.now)
+	if v == admission.Admitted && a.peer.Tenant < len(c.accounts) {
+		if v = c.tenants.Admit(c.accounts[a.peer.Tenant], c.now); v != admission.Admitted {
 			c.door.Done(a.door)
 		}
 	}
@@ -182,7 +182,7 @@
 		c.frame = m3ua.Append(c.frame[:0], &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: c.cfg.PointCode}}, Congestion: byte(level)})
 		c.port.Send(a.id, c.frame)
 	}
-	if v == admission.In {
+	if v == admission.Admitted {
 		return false
 	}
 	c.Counters.KeptOut++
@@ -208,7 +208,7 @@
 			c.tenants.Done(c.accounts[l.assoc.peer.Tenant])
 		}
 		c.Counters.Refused++
-		c.port.Ended(Ending{Outcome: Refused, Class: int(c.classOf[m.Category]), Tenant: l.assoc.peer.Tenant, Called: m.Called, Cause: cause})
+		c.port.CallEnded(CallRecord{Outcome: Refused, Class: int(c.classOf[m.Category]), Tenant: l.assoc.peer.Tenant, Called: m.Called, Cause: cause})
 		c.clearLeg(l, cause, isup.LocationNetwork)
 		return
 	}
@@ -222,7 +222,7 @@
 		c.ask(k, askArrival, script.Arrival, script.CallEvent(c.view(k)))
 		return
 	}
-	c.enter(k, policy.Offered{Advised: -1})
+	c.enter(k, policy.Offered{AdvisedTandem: -1})
 }
 
 // enter tells the module of a call of the table.
@@ -244,7 +244,7 @@
 		return
 	}
 	if k.asking != askArrival { // else the module has not been told of it
-		c.tell(policy.Released{Call: k.id})
+		c.tell(policy.CallerReleased{Call: k.id})
 	}
 	if k.to != nil {
 		if k.asking != askEnd {
@@ -252,7 +252,7 @@
 		}
 		c.returned(k, policy.Cancelled, policy.NoReason, true)
 	}
-	c.close(k, Left, cause)
+	c.close(k, Abandoned, cause)
 }
 
 // endStanding ends a call that stood, from the caller's side or from here: its circuit is released.
@@ -267,7 +267,7 @@
 
 // over tells the module that a standing call has ended.
 func (c *Core) over(k *call, o Outcome, cause isup.Cause, told policy.Cause) {
-	c.tell(policy.Returned{Call: k.id, Attempt: k.attempts - 1, Exchange: k.to.Address, Final: true, Delay: c.now - k.sentAt, Cause: told})
+	c.tell(policy.AttemptEnded{Call: k.id, Attempt: k.attempts - 1, Exchange: k.to.Address, Final: true, Delay: c.now - k.sentAt, Cause: told})
 	c.close(k, o, cause)
 }
 
@@ -322,7 +322,7 @@
 			back.Type = isup.ANM
 		}
 		c.backward(k, &back)
-		c.note(k, Stands, 0)
+		c.note(k, Answered, 0)
 		c.tell(policy.Established{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Delay: c.now - k.sentAt})
 	case isup.REL:
 		cause, loc := m.Cause, m.Location
@@ -421,7 +421,7 @@
 	}
 	verdict := f.group.FarSeized(m.CIC, id)
 	c.acts(f)
-	if verdict != trunk.Taken {
+	if verdict != trunk.SeizureAccepted {
 		return
 	}
 	if k == nil {
@@ -432,16 +432,16 @@
 	c.Counters.Transit++
 	c.calls[k.id] = k
 	c.waiting++
-	c.enter(k, policy.Offered{Transit: true, Advised: int(f.PointCode)})
+	c.enter(k, policy.Offered{Transit: true, AdvisedTandem: int(f.PointCode)})
 }
 
 // lost takes word that a call has lost its circuit.
-func (c *Core) lost(f *far, l trunk.Lost) {
+func (c *Core) lost(f *far, l trunk.CircuitLost) {
 	k := c.calls[l.Call]
 	if k == nil {
 		return
 	}
-	if !l.Out {
+	if !l.SeizedHere {
 		if k.from == f && k.fromCIC == l.CIC {
 			c.callerLeft(k, isup.CauseTemporary)
 		}
--- a/controller/causes.go
+++ b/controller/causes.go
@@ -17,17 +17,17 @@
 		if direct {
 			return policy.NotSetUp, policy.NoCircuit
 		}
-		return policy.NotSetUp, policy.TurnedBack
+		return policy.NotSetUp, policy.Crankback
 	case isup.CauseCongestion:
 		if !direct && loc == isup.LocationNetwork {
-			return policy.NotSetUp, policy.TurnedBackFull
+			return policy.NotSetUp, policy.CrankbackFull
 		}
 		return policy.NotSetUp, policy.ProcessorFull
 	case isup.CauseOutOfOrder, isup.CauseNetworkDown, isup.CauseNoRoute:
 		if direct {
 			return policy.NotSetUp, policy.NoReason
 		}
-		return policy.NotSetUp, policy.TurnedBack
+		return policy.NotSetUp, policy.Crankback
 	}
 	return policy.Failed, policy.NoReason
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -27,7 +27,7 @@
 type Config struct {
 	PointCode uint32
 	Network   byte          // network indicator of DATA
-	Brain     policy.Config // Self is taken from PointCode
+	Policy    policy.Config // Self is taken from PointCode
 	Exchanges []Exchange    // the own one among them
 	Classes   []Class       // in the order of Brain.Classes
 	Tenants   []string      // names, in the order of Brain.Tenants
@@ -46,29 +46,29 @@
 	Recovery       time.Duration
 	RecoveryOctets int
 
-	// Admit is the door in front of the module: limits of each client and of all, and of each tenant.
-	Admit  admission.Config
-	Tenant admission.Limits
+	// Admission is the door in front of the module: limits of each client and of all, and of each tenant.
+	Admission       admission.Config
+	TenantAdmission admission.Limits
 
 	// Hooks are the scripts' hooks; nil: there are none.
 	Hooks Hooks
 	// HookDeadline is how long a call waits for its hooks, before it goes on as without them.
 	HookDeadline time.Duration
 
-	// Module makes the module; nil: policy.New. Another is for comparisons only, on days that are played.
-	Module func(policy.Config) (Module, error)
+	// Engine makes the module; nil: policy.New. Another is for comparisons only, on days that are played.
+	Engine func(policy.Config) (Engine, error)
 }
 
 // Hooks run scripts beside the controller. Its methods don't block.
 type Hooks interface {
 	// Live is the set that a call belongs to that comes now, or nil.
 	Live() *hooks.Set
-	// Ask hands an event to the hooks of a set; Core.Advise brings their answer, if it comes. false: they are too busy.
-	Ask(a Ask) bool
+	// Submit hands an event to the hooks of a set; Core.Advise brings their answer, if it comes. false: they are too busy.
+	Submit(a HookRequest) bool
 }
 
-// Ask is a question to hooks.
-type Ask struct {
+// HookRequest is a question to hooks.
+type HookRequest struct {
 	Call  uint64
 	Seq   uint32 // names the question among those of its call
 	Set   *hooks.Set
@@ -76,8 +76,8 @@
 	Event script.Event
 }
 
-// Module decides. In the program it is *policy.Controller.
-type Module interface {
+// Engine decides. In the program it is *policy.Engine.
+type Engine interface {
 	Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action
 	View(out []policy.View) []policy.View
 }
@@ -99,22 +99,22 @@
 	Ring       time.Duration   // ... and then they let it ring so long; 0: 60 s
 }
 
-// Assoc names an association.
-type Assoc uint32
+// AssocID names an association.
+type AssocID uint32
 
-// Kind tells whom an association leads to.
-type Kind uint8
+// PeerKind tells whom an association leads to.
+type PeerKind uint8
 
 // The kinds.
 const (
-	Client    Kind = iota
-	FarSwitch      // the switch of another exchange
-	OwnSwitch      // the own one
+	Client    PeerKind = iota
+	FarSwitch          // the switch of another exchange
+	OwnSwitch          // the own one
 )
 
 // Peer is the other end of an association.
 type Peer struct {
-	Kind    Kind
+	Kind    PeerKind
 	PC      uint32 // of a switch
 	Address string // of a switch: where it was reached
 	Tenant  int    // of a client
@@ -132,15 +132,15 @@
 // Port is where a controller's frames go. Its methods don't block.
 type Port interface {
 	// Send queues a frame, which is copied; false: the queue is full or the association is gone.
-	Send(a Assoc, frame []byte) bool
+	Send(a AssocID, frame []byte) bool
 	// Unsent takes the frames that were queued on an association which is lost, and never handed to its connection.
-	Unsent(a Assoc) []byte
+	Unsent(a AssocID) []byte
 	// Close ends an association that is of no use any more; Down follows.
-	Close(a Assoc, why string)
-	// Ended tells of each call that has ended or been answered.
-	Ended(e Ending)
-	// Listed tells of each change of the list of exchanges.
-	Listed(e policy.Entry, cold bool)
+	Close(a AssocID, why string)
+	// CallEnded tells of each call that has ended or been answered.
+	CallEnded(e CallRecord)
+	// ExchangeChanged tells of each change of the list of exchanges.
+	ExchangeChanged(e policy.Entry, cold bool)
 }
 
 // Outcome is how a call came out.
@@ -148,20 +148,20 @@
 
 // The outcomes.
 const (
-	Stands   Outcome = iota // answered
-	Refused                 // the module's Refuse, or a call that cannot be routed at all
-	Failed                  // the module's Fail
-	Left                    // the caller left before an answer
-	Finished                // stood, and was hung up
-	Cut                     // stood, and was cut
+	Answered  Outcome = iota // answered
+	Refused                  // the module's Refuse, or a call that cannot be routed at all
+	Failed                   // the module's Fail
+	Abandoned                // the caller left before an answer
+	Finished                 // stood, and was hung up
+	Cut                      // stood, and was cut
 )
 
 func (o Outcome) String() string {
 	return [...]string{"stands", "refused", "failed", "left", "finished", "cut"}[o]
 }
 
-// Ending is one line of a call's life.
-type Ending struct {
+// CallRecord is one line of a call's life.
+type CallRecord struct {
 	Outcome  Outcome
 	Call     uint64
 	Class    int
@@ -255,7 +255,7 @@
 }
 
 type assoc struct {
-	id   Assoc
+	id   AssocID
 	peer Peer
 	far  *far
 	legs map[uint64]*leg // of a client
@@ -308,7 +308,7 @@
 	seq  uint32
 	id   uint64
 	far  *far
-	wake trunk.Wake
+	wake trunk.TimerID
 	leg  *leg
 	as   *server
 }
@@ -326,7 +326,7 @@
 
 	cfg       Config
 	port      Port
-	module    Module
+	module    Engine
 	now       time.Duration
 	wheel     *timer.Wheel[alarm]
 	calls     map[uint64]*call
@@ -336,11 +336,11 @@
 	fars      []*far
 	byPC      map[uint32]*far
 	byAddr    map[string]*far
-	assocs    map[Assoc]*assoc
+	assocs    map[AssocID]*assoc
 	servers   map[string]*server
 	routed    []uint32
-	door      *admission.Door
-	tenants   *admission.Door
+	door      *admission.Limiter
+	tenants   *admission.Limiter
 	accounts  []*admission.Client // of tenants
 	own       *assoc
 	classOf   [256]uint8
@@ -366,18 +366,18 @@
 
 // New makes a controller. now is the present time, which must be above zero.
 func New(cfg Config, port Port, now time.Duration) (*Core, error) {
-	cfg.Brain.Self = int(cfg.PointCode)
-	var module Module
+	cfg.Policy.Self = int(cfg.PointCode)
+	var module Engine
 	var err error
-	if cfg.Module != nil {
-		module, err = cfg.Module(cfg.Brain)
+	if cfg.Engine != nil {
+		module, err = cfg.Engine(cfg.Policy)
 	} else {
-		module, err = policy.New(cfg.Brain)
+		module, err = policy.New(cfg.Policy)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if len(cfg.Classes) != len(cfg.Brain.Classes) {
+	if len(cfg.Classes) != len(cfg.Policy.Classes) {
 		return nil, errors.New("the classes differ from the module's")
 	}
 	if cfg.MaxCalls <= 0 {
@@ -397,11 +397,11 @@
 		def(&cfg.Classes[i].Ring, time.Minute)
 	}
 	c := &Core{cfg: cfg, port: port, module: module, now: now, wheel: timer.New[alarm](now, time.Millisecond),
-		calls: map[uint64]*call{}, byPC: map[uint32]*far{}, byAddr: map[string]*far{}, assocs: map[Assoc]*assoc{}, servers: map[string]*server{},
+		calls: map[uint64]*call{}, byPC: map[uint32]*far{}, byAddr: map[string]*far{}, assocs: map[AssocID]*assoc{}, servers: map[string]*server{},
 		cuts: map[pair]time.Duration{}}
-	c.door, c.tenants = admission.New(cfg.Admit), admission.New(admission.Config{Client: cfg.Tenant})
+	c.door, c.tenants = admission.New(cfg.Admission), admission.New(admission.Config{Client: cfg.TenantAdmission})
 	for range cfg.Tenants {
-		c.accounts = append(c.accounts, c.tenants.Join(now))
+		c.accounts = append(c.accounts, c.tenants.AddClient(now))
 	}
 	for i, cl := range cfg.Classes {
 		for _, cat := range cl.Categories {
@@ -421,7 +421,7 @@
 			entries = append(entries, policy.Entry{Address: x.Address, PointCode: int(x.PointCode)})
 		}
 	}
-	c.tell(policy.List{Whole: true, Entries: entries})
+	c.tell(policy.List{Full: true, Entries: entries})
 	return c, nil
 }
 
@@ -493,7 +493,7 @@
 	}
 	c.tell(policy.List{Entries: entries})
 	for _, e := range entries {
-		c.port.Listed(e, e.Launched > 0 && c.now < e.Launched+c.cfg.Brain.WarmUp)
+		c.port.ExchangeChanged(e, e.Launched > 0 && c.now < e.Launched+c.cfg.Policy.WarmUp)
 	}
 }
 
@@ -524,7 +524,7 @@
 				c.returned(k, policy.TimedOut, policy.NoReason, false)
 			}
 		case trunkTimer:
-			a.far.group.Alarm(a.wake)
+			a.far.group.TimerExpired(a.wake)
 			c.acts(a.far)
 		case legTimer:
 			c.repeatRelease(a.leg)
@@ -555,7 +555,7 @@
 	if c.ownAddr != "" && now >= c.lateTold+lateEvery {
 		c.lateTold = now
 		r := unknown
-		r.Wait, r.HoldBack = (c.late / time.Duration(max(1, c.lateOf))).Seconds(), c.ownHold
+		r.Wait, r.Reduction = (c.late / time.Duration(max(1, c.lateOf))).Seconds(), c.ownHold
 		c.late, c.lateOf = 0, 0
 		c.tell(policy.Status{Exchange: c.ownAddr, OK: true, Report: r})
 	}
@@ -564,11 +564,11 @@
 // lateEvery is how often the module is told the own lateness.
 const lateEvery = 500 * time.Millisecond
 
-// Late notes how long events have waited for the decision goroutine: the own lateness, of n of them together.
-func (c *Core) Late(sum time.Duration, n int) { c.late, c.lateOf = c.late+sum, c.lateOf+n }
+// RecordQueueDelay notes how long events have waited for the decision goroutine: the own lateness, of n of them together.
+func (c *Core) RecordQueueDelay(sum time.Duration, n int) { c.late, c.lateOf = c.late+sum, c.lateOf+n }
 
 // unknown is a report that tells nothing.
-var unknown = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, HoldBack: -1}
+var unknown = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}
 
 func (f *far) report() policy.Report {
 	r := unknown
@@ -627,8 +627,8 @@
 	}
 }
 
-// Up takes an association that is active now.
-func (c *Core) Up(now time.Duration, id Assoc, p Peer) {
+// AssocUp takes an association that is active now.
+func (c *Core) AssocUp(now time.Duration, id AssocID, p Peer) {
 	c.now = now
 	a := &assoc{id: id, peer: p}
 	switch p.Kind {
@@ -640,7 +640,7 @@
 		if c.assocs[id] != nil { // it is active already
 			return
 		}
-		a.legs, a.door = map[uint64]*leg{}, c.door.Join(now)
+		a.legs, a.door = map[uint64]*leg{}, c.door.AddClient(now)
 		if p.Override && p.ASP != 0 {
 			c.supersede(now, p.ASP)
 		}
@@ -651,7 +651,7 @@
 			return
 		}
 		if f.assoc != nil { // an old association that has not been told dead yet
-			c.Down(now, f.assoc.id)
+			c.AssocDown(now, f.assoc.id)
 		}
 		a.far, f.assoc = f, a
 		if p.Address != f.Address {
@@ -687,7 +687,7 @@
 
 // supersede ends every other association of a client: their calls are over before the new one brings any.
 func (c *Core) supersede(now time.Duration, asp uint32) {
-	var old []Assoc
+	var old []AssocID
 	for id, a := range c.assocs {
 		if a.peer.Kind == Client && a.peer.ASP == asp {
 			old = append(old, id)
@@ -696,7 +696,7 @@
 	slices.Sort(old)
 	for _, id := range old {
 		c.port.Close(id, "the client has come again")
-		c.Down(now, id)
+		c.AssocDown(now, id)
 	}
 }
 
@@ -724,8 +724,8 @@
 	}
 }
 
-// Down takes the loss of an association, with all that was on it.
-func (c *Core) Down(now time.Duration, id Assoc) {
+// AssocDown takes the loss of an association, with all that was on it.
+func (c *Core) AssocDown(now time.Duration, id AssocID) {
 	c.now = now
 	a := c.assocs[id]
 	if a == nil {
@@ -738,7 +738,7 @@
 			c.serverDown(a)
 			return
 		}
-		defer c.door.Leave(a.door)
+		defer c.door.RemoveClient(a.door)
 		for _, l := range a.legs {
 			if l.call != nil {
 				k := l.call
@@ -768,18 +768,18 @@
 	if f.group == nil {
 		return
 	}
-	for len(f.group.Acts) > 0 {
-		acts := f.group.Acts
-		f.group.Acts = nil
+	for len(f.group.Actions) > 0 {
+		acts := f.group.Actions
+		f.group.Actions = nil
 		for i := range acts {
 			switch a := acts[i].(type) {
-			case trunk.ToFar:
+			case trunk.SendToFar:
 				c.toFar(f, &a.Msg)
-			case trunk.ToOwn:
+			case trunk.SendToOwn:
 				c.toOwn(f, &a.Msg)
-			case trunk.Alarm:
-				c.wheel.Set(c.now+a.After, alarm{kind: trunkTimer, far: f, wake: a.Wake})
-			case trunk.Lost:
+			case trunk.StartTimer:
+				c.wheel.Set(c.now+a.After, alarm{kind: trunkTimer, far: f, wake: a.TimerID})
+			case trunk.CircuitLost:
 				c.lost(f, a)
 			}
 		}
@@ -801,7 +801,7 @@
 }
 
 // send queues a frame; an association whose queue is full is of no use to its calls.
-func (c *Core) send(id Assoc, frame []byte) bool {
+func (c *Core) send(id AssocID, frame []byte) bool {
 	if c.port.Send(id, frame) {
 		return true
 	}
@@ -828,7 +828,7 @@
 }
 
 // Handle takes one message of an association that is up: DATA, SSNM or NTFY.
-func (c *Core) Handle(now time.Duration, id Assoc, m *m3ua.Message) {
+func (c *Core) Handle(now time.Duration, id AssocID, m *m3ua.Message) {
 	c.now = now
 	a := c.assocs[id]
 	if a == nil {
@@ -901,7 +901,7 @@
 			}
 			if m.Kind == m3ua.SCON {
 				r := f.report()
-				r.HoldBack = float64(m.Congestion) / 3
+				r.Reduction = float64(m.Congestion) / 3
 				c.tell(policy.Status{Exchange: f.Address, OK: true, Report: r})
 				continue
 			}
@@ -936,7 +936,7 @@
 	if k.from != nil && cause == policy.NotSent || cause == policy.NoContact {
 		k.loc = isup.LocationTransit
 	}
-	c.tell(policy.Returned{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Final: final, Delay: c.now - k.sentAt,
+	c.tell(policy.AttemptEnded{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Final: final, Delay: c.now - k.sentAt,
 		Cause: cause, Reason: reason})
 }
 
@@ -997,7 +997,7 @@
 	k, f := c.calls[a.Call], c.byAddr[a.Exchange]
 	if k == nil || k.phase != offered || k.to != nil || f == nil {
 		c.Counters.NotSent++
-		c.tell(policy.Returned{Call: a.Call, Exchange: a.Exchange, Final: k == nil || k.phase != offered, Cause: policy.NotSent})
+		c.tell(policy.AttemptEnded{Call: a.Call, Exchange: a.Exchange, Final: k == nil || k.phase != offered, Cause: policy.NotSent})
 		return
 	}
 	k.attempts++
@@ -1099,7 +1099,7 @@
 		c.Counters.Refused++
 	case Failed:
 		c.Counters.Failed++
-	case Left:
+	case Abandoned:
 		c.Counters.Left++
 	case Finished:
 		c.Counters.Finished++
@@ -1117,16 +1117,16 @@
 }
 
 func (c *Core) note(k *call, o Outcome, cause isup.Cause) {
-	e := Ending{Outcome: o, Call: k.id, Class: k.class, Tenant: k.tenant, Transit: k.from != nil, Called: k.iam.Called,
+	e := CallRecord{Outcome: o, Call: k.id, Class: k.class, Tenant: k.tenant, Transit: k.from != nil, Called: k.iam.Called,
 		To: k.dest, Via: k.via, Attempts: k.attempts, Cause: cause, After: c.now - k.arrived,
 		Calling: k.iam.Calling, Category: k.iam.Category, Set: k.set, Tags: k.tags}
-	if o == Stands {
+	if o == Answered {
 		e.SetUp = e.After
 		if k.rangAt > 0 {
 			e.SetUp = k.rangAt - k.arrived
 		}
 	}
-	c.port.Ended(e)
+	c.port.CallEnded(e)
 }
 
 // maxCuts bounds the memory of cut calls; the oldest goes first.
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -20,25 +20,25 @@
 
 // The rig: one controller of exchange 1 with exchanges 2 and 3, every frame that it sends kept by association.
 const (
-	client Assoc = 100
-	own    Assoc = 101
-	two    Assoc = 102
-	three  Assoc = 103
+	client AssocID = 100
+	own    AssocID = 101
+	two    AssocID = 102
+	three  AssocID = 103
 )
 
 type rig struct {
 	t      *testing.T
 	c      *Core
 	now    time.Duration
-	sent   map[Assoc][]isup.Message
-	mgmt   map[Assoc][]m3ua.Message
-	full   map[Assoc]bool
-	closed map[Assoc]string
-	unsent map[Assoc][]byte
-	ends   []Ending
+	sent   map[AssocID][]isup.Message
+	mgmt   map[AssocID][]m3ua.Message
+	full   map[AssocID]bool
+	closed map[AssocID]string
+	unsent map[AssocID][]byte
+	ends   []CallRecord
 }
 
-func (r *rig) Send(a Assoc, frame []byte) bool {
+func (r *rig) Send(a AssocID, frame []byte) bool {
 	if r.full[a] {
 		return false
 	}
@@ -59,15 +59,15 @@
 	return true
 }
 
-func (r *rig) Close(a Assoc, why string) { r.closed[a] = why }
-func (r *rig) Unsent(a Assoc) []byte     { b := r.unsent[a]; delete(r.unsent, a); return b }
-func (r *rig) Ended(e Ending)            { r.ends = append(r.ends, e) }
-func (r *rig) Listed(policy.Entry, bool) {}
+func (r *rig) Close(a AssocID, why string)        { r.closed[a] = why }
+func (r *rig) Unsent(a AssocID) []byte            { b := r.unsent[a]; delete(r.unsent, a); return b }
+func (r *rig) CallEnded(e CallRecord)             { r.ends = append(r.ends, e) }
+func (r *rig) ExchangeChanged(policy.Entry, bool) {}
 
 func newRig(t *testing.T, circuits int, change ...func(*Config)) *rig {
 	cfg := Config{
 		PointCode: 1, Hops: 5, AnswerMargin: 50 * ms, CutMemory: 10 * sec,
-		Brain: policy.Config{Controllers: 3, MaxAttempts: 4, Guard: 200 * ms, WarmUp: 15 * sec, ColdShare: 0.4, FallMultiple: 2, FallSpan: 3 * sec,
+		Policy: policy.Config{Controllers: 3, MaxAttempts: 4, Guard: 200 * ms, WarmUp: 15 * sec, ColdShare: 0.4, CrashMultiple: 2, CrashSpan: 3 * sec,
 			Classes: []policy.Class{{Aim: 1500 * ms, Worth: 1, LateWorth: 0.25, Circuits: 1, Repeatable: true},
 				{Aim: 1200 * ms, Worth: 5, LateWorth: 0.25, Circuits: 1, Repeatable: true}}},
 		Classes: []Class{{Name: "a", Patience: 3 * sec}, {Name: "b", Patience: 2 * sec, Categories: []isup.Category{isup.CategoryPriority}}},
@@ -77,24 +77,24 @@
 	for _, f := range change {
 		f(&cfg)
 	}
-	r := &rig{t: t, now: time.Hour, sent: map[Assoc][]isup.Message{}, mgmt: map[Assoc][]m3ua.Message{}, full: map[Assoc]bool{}, closed: map[Assoc]string{}}
+	r := &rig{t: t, now: time.Hour, sent: map[AssocID][]isup.Message{}, mgmt: map[AssocID][]m3ua.Message{}, full: map[AssocID]bool{}, closed: map[AssocID]string{}}
 	c, err := New(cfg, r, r.now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.c = c
-	c.Up(r.now, own, Peer{Kind: OwnSwitch, PC: 1})
+	c.AssocUp(r.now, own, Peer{Kind: OwnSwitch, PC: 1})
 	r.up(two, 2, "h2", false)
 	r.up(three, 3, "h3", false)
-	c.Up(r.now, client, Peer{Kind: Client, Name: "c"})
+	c.AssocUp(r.now, client, Peer{Kind: Client, Name: "c"})
 	r.flush()
-	r.sent = map[Assoc][]isup.Message{}
+	r.sent = map[AssocID][]isup.Message{}
 	return r
 }
 
 // up brings a far association up and answers its queries, with all circuits busy or idle.
-func (r *rig) up(a Assoc, pc uint32, addr string, busy bool) {
-	r.c.Up(r.now, a, Peer{Kind: FarSwitch, PC: pc, Address: addr})
+func (r *rig) up(a AssocID, pc uint32, addr string, busy bool) {
+	r.c.AssocUp(r.now, a, Peer{Kind: FarSwitch, PC: pc, Address: addr})
 	for _, m := range r.take(a) {
 		if m.Type == isup.CQM {
 			s := make([]byte, m.Range+1)
@@ -112,14 +112,14 @@
 
 func (r *rig) flush() { r.c.Flush(r.now) }
 
-func (r *rig) take(a Assoc) []isup.Message {
+func (r *rig) take(a AssocID) []isup.Message {
 	m := r.sent[a]
 	r.sent[a] = nil
 	return m
 }
 
 // one takes the single message sent on an association, which must be of the given type.
-func (r *rig) one(a Assoc, t isup.Type) isup.Message {
+func (r *rig) one(a AssocID, t isup.Type) isup.Message {
 	r.t.Helper()
 	m := r.take(a)
 	if len(m) != 1 || m[0].Type != t {
@@ -128,7 +128,7 @@
 	return m[0]
 }
 
-func (r *rig) none(a Assoc) {
+func (r *rig) none(a AssocID) {
 	r.t.Helper()
 	if m := r.take(a); len(m) > 0 {
 		r.t.Fatalf("on %d: %v, want nothing", a, types(m))
@@ -142,7 +142,7 @@
 	return s
 }
 
-func (r *rig) from(a Assoc, opc uint32, m isup.Message) {
+func (r *rig) from(a AssocID, opc uint32, m isup.Message) {
 	frame := m3ua.Append(nil, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: opc, DPC: 1, SI: 5, User: isup.Append(nil, &m)}})
 	var x m3ua.Message
 	if err := m3ua.Decode(frame, &x); err != nil {
@@ -152,7 +152,7 @@
 	r.flush()
 }
 
-func (r *rig) ssnm(a Assoc, k m3ua.Kind, pc uint32) {
+func (r *rig) ssnm(a AssocID, k m3ua.Kind, pc uint32) {
 	r.c.Handle(r.now, a, &m3ua.Message{Kind: k, Affected: []m3ua.Affected{{PC: pc}}})
 	r.flush()
 }
@@ -261,7 +261,7 @@
 	if r.c.byPC[2].group.Free() != 10 || r.c.Open() != 0 {
 		t.Error("something is left")
 	}
-	if e := r.ends[len(r.ends)-1]; e.Outcome != Left {
+	if e := r.ends[len(r.ends)-1]; e.Outcome != Abandoned {
 		t.Errorf("%+v", e)
 	}
 }
@@ -328,7 +328,7 @@
 	a := r.take(two)
 	r.from(two, 2, isup.Message{Type: isup.CON, CIC: a[0].CIC})
 	r.take(client)
-	r.c.Down(r.now, two)
+	r.c.AssocDown(r.now, two)
 	r.flush()
 	r.wait(190 * ms)
 	r.none(three) // the guard
@@ -357,7 +357,7 @@
 	cic := r.one(two, isup.IAM).CIC
 	r.from(two, 2, isup.Message{Type: isup.CON, CIC: cic})
 	r.take(client)
-	r.c.Down(r.now, two)
+	r.c.AssocDown(r.now, two)
 	r.wait(sec)
 	r.up(two, 2, "h2", true)
 	if f := r.c.byPC[2]; f.launched != 0 || f.doubt {
@@ -372,7 +372,7 @@
 // A switch that comes back under a new address is another machine, and cold.
 func TestNewAddress(t *testing.T) {
 	r := newRig(t, 10)
-	r.c.Down(r.now, two)
+	r.c.AssocDown(r.now, two)
 	r.wait(sec)
 	r.up(two, 2, "h2b", false)
 	f := r.c.byPC[2]
@@ -497,7 +497,7 @@
 // With the own switch gone the seizures of the other ends are not seen: no circuit is seized.
 func TestOwnSwitchDown(t *testing.T) {
 	r := newRig(t, 10)
-	r.c.Down(r.now, own)
+	r.c.AssocDown(r.now, own)
 	r.offer(1, "2001")
 	r.wait(3 * sec)
 	r.none(two)
@@ -519,7 +519,7 @@
 	if r.closed[client] == "" {
 		t.Error("a client that does not read is kept")
 	}
-	r.c.Down(r.now, client)
+	r.c.AssocDown(r.now, client)
 	if r.c.Open() != 0 {
 		t.Error("its calls are kept")
 	}
@@ -551,7 +551,7 @@
 	a := r.take(two)
 	r.from(two, 2, isup.Message{Type: isup.CON, CIC: a[0].CIC})
 	r.take(client)
-	r.c.Down(r.now, client)
+	r.c.AssocDown(r.now, client)
 	if m := r.take(two); len(m) != 2 || m[0].Type != isup.REL || m[1].Type != isup.REL {
 		t.Errorf("%v", types(m))
 	}
@@ -611,20 +611,20 @@
 
 // spy hands events on to the module and keeps them.
 type spy struct {
-	Module
+	Engine
 	events *[]policy.Event
 }
 
 func (s spy) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
 	*s.events = append(*s.events, ev)
-	return s.Module.Handle(now, ev, out)
+	return s.Engine.Handle(now, ev, out)
 }
 
 // Congestion and changes of circuits reach the module.
 func TestStatus(t *testing.T) {
 	var events []policy.Event
 	r := newRig(t, 10, func(c *Config) {
-		c.Module = func(b policy.Config) (Module, error) {
+		c.Engine = func(b policy.Config) (Engine, error) {
 			m, err := policy.New(b)
 			return spy{m, &events}, err
 		}
@@ -638,11 +638,11 @@
 		return policy.Status{}
 	}
 	r.c.Handle(r.now, own, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 2}}, Congestion: 3})
-	if s := last(); s.Exchange != "h2" || s.Report.HoldBack != 1 || s.Report.Free != 10 {
+	if s := last(); s.Exchange != "h2" || s.Report.Reduction != 1 || s.Report.Free != 10 {
 		t.Errorf("%+v", s)
 	}
 	r.from(own, 2, iam(4, "1001"))
-	if s := last(); s.Exchange != "h2" || s.Report.Free != 9 || s.Report.Size != 10 || s.Report.HoldBack >= 0 {
+	if s := last(); s.Exchange != "h2" || s.Report.Free != 9 || s.Report.Size != 10 || s.Report.Reduction >= 0 {
 		t.Errorf("%+v", s)
 	}
 	r.from(own, 2, isup.Message{Type: isup.REL, CIC: 4, Cause: isup.CauseNormal})
@@ -710,41 +710,41 @@
 
 type nowhere struct{ last uint16 }
 
-func (n *nowhere) Send(a Assoc, frame []byte) bool {
+func (n *nowhere) Send(a AssocID, frame []byte) bool {
 	if a >= 1000 {
 		n.last = uint16(frame[8+8+4+12]) | uint16(frame[8+8+4+13])<<8
 	}
 	return true
 }
-func (n *nowhere) Close(Assoc, string) {}
-func (n *nowhere) Unsent(Assoc) []byte { return nil }
-func (n *nowhere) Ended(Ending)        {}
+func (n *nowhere) Close(AssocID, string) {}
+func (n *nowhere) Unsent(AssocID) []byte { return nil }
+func (n *nowhere) CallEnded(CallRecord)  {}
 
-func (n *nowhere) Listed(policy.Entry, bool) {}
+func (n *nowhere) ExchangeChanged(policy.Entry, bool) {}
 
 // benchmarkCall measures one whole call beside open ones, which stand or ring.
 func benchmarkCall(b *testing.B, open int, as isup.Type) {
-	cfg := Config{PointCode: 1, Hops: 5, Brain: policy.Config{Controllers: 2, MaxAttempts: 4, Guard: 200 * ms,
+	cfg := Config{PointCode: 1, Hops: 5, Policy: policy.Config{Controllers: 2, MaxAttempts: 4, Guard: 200 * ms,
 		Classes: []policy.Class{{Aim: 1500 * ms, Worth: 1, Circuits: 1, Repeatable: true}}},
 		Classes: []Class{{Name: "a", Patience: 3 * sec, Ring: time.Hour}}, T9: time.Hour, Exchanges: []Exchange{{1, "", "h", 0, nil}}}
 	far := open/4000 + 1
 	for i := range far {
 		cfg.Exchanges = append(cfg.Exchanges, Exchange{uint32(1000 + i), "", fmt.Sprint("h", i), 4095, []string{fmt.Sprint(1000 + i)}})
 	}
-	cfg.Brain.Controllers = far + 1
+	cfg.Policy.Controllers = far + 1
 	port, now := &nowhere{}, time.Hour
 	c, err := New(cfg, port, now)
 	if err != nil {
 		b.Fatal(err)
 	}
-	c.Up(now, 1, Peer{Kind: OwnSwitch})
-	c.Up(now, 2, Peer{Kind: Client})
-	data := func(a Assoc, opc uint32, m isup.Message) {
+	c.AssocUp(now, 1, Peer{Kind: OwnSwitch})
+	c.AssocUp(now, 2, Peer{Kind: Client})
+	data := func(a AssocID, opc uint32, m isup.Message) {
 		c.Handle(now, a, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: opc, SI: 5, User: isup.Append(nil, &m)}})
 	}
 	for i := range far {
-		a, pc := Assoc(1000+i), uint32(1000+i)
-		c.Up(now, a, Peer{Kind: FarSwitch, PC: pc, Address: fmt.Sprint("h", i)})
+		a, pc := AssocID(1000+i), uint32(1000+i)
+		c.AssocUp(now, a, Peer{Kind: FarSwitch, PC: pc, Address: fmt.Sprint("h", i)})
 		for first := 1; first <= 4095; first += 32 {
 			n := min(32, 4096-first)
 			s := make([]byte, n)
@@ -755,11 +755,11 @@
 		}
 		c.Flush(now)
 	}
-	one := func(i int) (Assoc, uint32, uint16) {
+	one := func(i int) (AssocID, uint32, uint16) {
 		x := i % far
 		m := iam(uint16(i%4000), fmt.Sprint(1000+x, "55"))
 		data(2, uint32(900+i/4000), m)
-		a, pc := Assoc(1000+x), uint32(1000+x)
+		a, pc := AssocID(1000+x), uint32(1000+x)
 		cic := port.last
 		data(a, pc, isup.Message{Type: as, CIC: cic})
 		return a, pc, cic
@@ -800,7 +800,7 @@
 
 // Limits keep a client's flood out at once, with cause 42, its congestion level, and one SCON for each change.
 func TestKeptOut(t *testing.T) {
-	r := newRig(t, 100, func(c *Config) { c.Admit.Client = admission.Limits{Rate: 10, Burst: 5} })
+	r := newRig(t, 100, func(c *Config) { c.Admission.Client = admission.Limits{Rate: 10, Burst: 5} })
 	for cic := uint16(1); cic <= 20; cic++ {
 		r.offer(cic, "2001")
 	}
@@ -819,8 +819,8 @@
 	if n := len(r.mgmt[client]); n < 1 || n > 3 || r.mgmt[client][n-1].Kind != m3ua.SCON || r.mgmt[client][n-1].Congestion == 0 {
 		t.Errorf("%+v", r.mgmt[client])
 	}
-	other := Assoc(110)
-	r.c.Up(r.now, other, Peer{Kind: Client, Name: "d"})
+	other := AssocID(110)
+	r.c.AssocUp(r.now, other, Peer{Kind: Client, Name: "d"})
 	r.from(other, 901, iam(1, "2001"))
 	r.one(two, isup.IAM)
 	if c := r.c.Counters; c.KeptOut != 15 || c.Offered != 6 {
@@ -831,8 +831,8 @@
 // Open calls count until they are over, however they end.
 func TestOpenLimit(t *testing.T) {
 	r := newRig(t, 100, func(c *Config) {
-		c.Admit.Client = admission.Limits{Open: 2}
-		c.Tenants, c.Tenant = []string{"x"}, admission.Limits{Open: 2}
+		c.Admission.Client = admission.Limits{Open: 2}
+		c.Tenants, c.TenantAdmission = []string{"x"}, admission.Limits{Open: 2}
 	})
 	out := map[uint16]uint16{}
 	for cic := uint16(1); cic <= 2; cic++ {
@@ -852,8 +852,8 @@
 	r.take(two)
 	r.offer(6, "2006")
 	r.one(two, isup.IAM)
-	r.c.Down(r.now, client)
-	if r.c.door.Ask(r.c.door.Join(r.now), r.now) != admission.In || r.c.accounts[0].Open() != 0 {
+	r.c.AssocDown(r.now, client)
+	if r.c.door.Admit(r.c.door.AddClient(r.now), r.now) != admission.Admitted || r.c.accounts[0].Open() != 0 {
 		t.Errorf("%d open of the tenant", r.c.accounts[0].Open())
 	}
 }
@@ -862,13 +862,13 @@
 // without shares the load.
 func TestClientComesAgain(t *testing.T) {
 	r := newRig(t, 10)
-	first, second, third := Assoc(110), Assoc(111), Assoc(112)
-	r.c.Up(r.now, first, Peer{Kind: Client, ASP: 7})
+	first, second, third := AssocID(110), AssocID(111), AssocID(112)
+	r.c.AssocUp(r.now, first, Peer{Kind: Client, ASP: 7})
 	r.from(first, 900, iam(1, "2001"))
 	r.one(two, isup.IAM)
-	r.c.Up(r.now, second, Peer{Kind: Client, ASP: 7})
+	r.c.AssocUp(r.now, second, Peer{Kind: Client, ASP: 7})
 	r.none(two)
-	r.c.Up(r.now, third, Peer{Kind: Client, ASP: 7, Override: true})
+	r.c.AssocUp(r.now, third, Peer{Kind: Client, ASP: 7, Override: true})
 	if m := r.one(two, isup.REL); m.Cause != isup.CauseNormal {
 		t.Errorf("%+v", m)
 	}
@@ -880,7 +880,7 @@
 	if r.c.Open() != 1 {
 		t.Errorf("%d open", r.c.Open())
 	}
-	r.c.Down(r.now, first) // word of the old one's end comes later
+	r.c.AssocDown(r.now, first) // word of the old one's end comes later
 	if r.c.Open() != 1 {
 		t.Error("the new one's call is gone")
 	}
--- a/controller/hooks.go
+++ b/controller/hooks.go
@@ -30,7 +30,7 @@
 	k.asking = what
 	k.askSeq++
 	c.Counters.HookAsked++
-	if !c.cfg.Hooks.Ask(Ask{Call: k.id, Seq: k.askSeq, Set: k.set, Kind: kind, Event: ev}) {
+	if !c.cfg.Hooks.Submit(HookRequest{Call: k.id, Seq: k.askSeq, Set: k.set, Kind: kind, Event: ev}) {
 		c.Counters.HookBusy++
 		c.unadvised(k)
 		return
@@ -54,7 +54,7 @@
 	}
 	k.set.Late(kind)
 	a := hooks.Advice{}
-	if k.set.Refuses(kind) {
+	if k.set.RefusesOnTimeout(kind) {
 		a.Refuse = int(isup.CauseCongestion)
 	}
 	c.advised(k, &a)
@@ -78,8 +78,8 @@
 	k.tags = append(k.tags, a.Tags...)
 	if what == askEnd {
 		cause := k.cause
-		if a.Treat != 0 && script.Treatable(int64(a.Treat)) {
-			cause = isup.Cause(a.Treat)
+		if a.TreatAs != 0 && script.Treatable(int64(a.TreatAs)) {
+			cause = isup.Cause(a.TreatAs)
 		}
 		c.attemptEnded(k, cause)
 		return
@@ -106,7 +106,7 @@
 		return
 	}
 	k.dest = dest
-	c.enter(k, policy.Offered{Advised: -1, Exclude: a.Exclude})
+	c.enter(k, policy.Offered{AdvisedTandem: -1, Excluded: a.Exclude})
 }
 
 // refuse is the final answer of a call that the module has not been told of.
--- a/controller/hooks_test.go
+++ b/controller/hooks_test.go
@@ -10,13 +10,13 @@
 // asker keeps the questions; the test answers them, or does not.
 type asker struct {
 	set  *hooks.Set
-	asks []Ask
+	asks []HookRequest
 	busy bool
 }
 
 func (a *asker) Live() *hooks.Set { return a.set }
 
-func (a *asker) Ask(q Ask) bool {
+func (a *asker) Submit(q HookRequest) bool {
 	if a.busy {
 		return false
 	}
@@ -171,7 +171,7 @@
 	iams := 0
 	for range 100 {
 		for _, x := range []struct {
-			a  Assoc
+			a  AssocID
 			pc uint32
 		}{{two, 2}, {three, 3}} {
 			for _, m := range r.take(x.a) {
--- a/controller/phases_test.go
+++ b/controller/phases_test.go
@@ -40,7 +40,7 @@
 func TestRingsThenStands(t *testing.T) {
 	r := ringRig(t)
 	cic := r.ring(1, "2001")
-	if v := r.view(2); v.Held != 0 || v.Out != 0 || r.c.Ringing() != 1 || r.c.Waiting() != 1 {
+	if v := r.view(2); v.SlotsHeld != 0 || v.Pending != 0 || r.c.Ringing() != 1 || r.c.Waiting() != 1 {
 		t.Errorf("%+v, %d ringing, %d waiting", v, r.c.Ringing(), r.c.Waiting())
 	}
 	r.wait(15 * sec)
@@ -50,7 +50,7 @@
 	r.one(client, isup.ANM)
 	r.wait(30 * sec) // the time for ringing must not end a call that stands
 	r.none(client)
-	if e := r.ends[0]; e.Outcome != Stands || e.SetUp != 0 || e.After != 15*sec || r.c.Ringing() != 0 || r.c.Waiting() != 0 {
+	if e := r.ends[0]; e.Outcome != Answered || e.SetUp != 0 || e.After != 15*sec || r.c.Ringing() != 0 || r.c.Waiting() != 0 {
 		t.Errorf("%+v, %d ringing", e, r.c.Ringing())
 	}
 }
@@ -67,7 +67,7 @@
 	if m := r.take(client); len(m) != 2 || m[0].Type != isup.ACM || m[1].Type != isup.ANM {
 		t.Fatalf("%v", types(m))
 	}
-	if r.c.Ringing() != 0 || r.view(2).Held != 0 || r.c.Counters.Alerted != 1 || r.c.Counters.Established != 1 {
+	if r.c.Ringing() != 0 || r.view(2).SlotsHeld != 0 || r.c.Counters.Alerted != 1 || r.c.Counters.Established != 1 {
 		t.Errorf("%d ringing, %+v", r.c.Ringing(), r.c.Counters)
 	}
 }
@@ -81,7 +81,7 @@
 	r.one(client, isup.ACM)
 	r.from(two, 2, isup.Message{Type: isup.CPG, CIC: cic, Event: 2})
 	r.one(client, isup.CPG)
-	if r.c.Ringing() != 1 || r.view(2).Held != 0 {
+	if r.c.Ringing() != 1 || r.view(2).SlotsHeld != 0 {
 		t.Errorf("%d ringing, %+v", r.c.Ringing(), r.view(2))
 	}
 	r.wait(5 * sec)
@@ -168,7 +168,7 @@
 		cic := r.ring(1, "2001")
 		r.wait(5 * sec) // beyond the time of its set-up: nothing further is tried
 		if lost == "association" {
-			r.c.Down(r.now, two)
+			r.c.AssocDown(r.now, two)
 			r.flush()
 		} else {
 			r.from(two, 2, isup.Message{Type: isup.RSC, CIC: cic})
@@ -210,7 +210,7 @@
 		r.take(client)
 		r.wait(10 * ms)
 	}
-	if v := r.view(2); r.c.Ringing() != 300 || v.Held != 0 || v.Out != 0 {
+	if v := r.view(2); r.c.Ringing() != 300 || v.SlotsHeld != 0 || v.Pending != 0 {
 		t.Fatalf("%d ring, %+v", r.c.Ringing(), v)
 	}
 	r.take(two)
@@ -234,7 +234,7 @@
 		t.Errorf("releases take 0.9 s, and the load reads %.2f", v.Load)
 	}
 	for range 4 {
-		r.c.Late(40*sec, 50)
+		r.c.RecordQueueDelay(40*sec, 50)
 		r.wait(500 * ms)
 	}
 	if v := r.view(1); v.Load < 0.9 {
--- a/controller/servers.go
+++ b/controller/servers.go
@@ -19,7 +19,7 @@
 	}
 	s := c.servers[a.peer.Server]
 	if s == nil {
-		a.legs, a.door = map[uint64]*leg{}, c.door.Join(c.now)
+		a.legs, a.door = map[uint64]*leg{}, c.door.AddClient(c.now)
 		s = &server{name: a.peer.Server, first: a, as: m3ua.NewAS(a.peer.Mode, c.cfg.Recovery, c.cfg.RecoveryOctets)}
 		c.servers[s.name] = s
 	}
@@ -35,7 +35,7 @@
 	}
 	for _, id := range replaced {
 		c.frame = m3ua.Append(c.frame[:0], &m3ua.Message{Kind: m3ua.NTFY, StatusType: m3ua.StatusOther, StatusInfo: m3ua.InfoAlternateASP})
-		c.port.Send(Assoc(id), c.frame)
+		c.port.Send(AssocID(id), c.frame)
 	}
 }
 
@@ -82,13 +82,13 @@
 			c.callerLeft(k, isup.CauseTemporary)
 		}
 	}
-	c.door.Leave(a.door)
+	c.door.RemoveClient(a.door)
 }
 
 // toServer sends a message to a client with several associations.
 func (c *Core) toServer(l *leg, frame []byte) {
 	if id := c.route(l.assoc.server, frame, byte(l.cic&15), uint32(l.assoc.id)); id != 0 {
-		l.assoc = c.assocs[Assoc(id)]
+		l.assoc = c.assocs[AssocID(id)]
 	}
 }
 
@@ -110,7 +110,7 @@
 		}
 		var failed []*assoc
 		for _, id := range to {
-			if a := c.assocs[Assoc(id)]; !c.send(a.id, frame) {
+			if a := c.assocs[AssocID(id)]; !c.send(a.id, frame) {
 				failed = append(failed, a)
 			}
 		}
--- a/controller/servers_test.go
+++ b/controller/servers_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	left  Assoc = 201
-	right Assoc = 202
+	left  AssocID = 201
+	right AssocID = 202
 )
 
 func serverRig(t *testing.T, mode uint32) *rig {
@@ -20,13 +20,13 @@
 	return r
 }
 
-func (r *rig) join(a Assoc, mode uint32) {
-	r.c.Up(r.now, a, Peer{Kind: Client, Name: "branch", Server: "branch", Mode: mode, ASP: uint32(a)})
+func (r *rig) join(a AssocID, mode uint32) {
+	r.c.AssocUp(r.now, a, Peer{Kind: Client, Name: "branch", Server: "branch", Mode: mode, ASP: uint32(a)})
 	r.flush()
 }
 
-func (r *rig) lose(a Assoc) {
-	r.c.Down(r.now, a)
+func (r *rig) lose(a AssocID) {
+	r.c.AssocDown(r.now, a)
 	r.flush()
 }
 
@@ -128,13 +128,13 @@
 // loss too, and its frame goes on.
 func TestUnsentGoesOverTheOther(t *testing.T) {
 	r := serverRig(t, m3ua.TrafficLoadshare)
-	r.unsent = map[Assoc][]byte{}
+	r.unsent = map[AssocID][]byte{}
 	r.from(left, 900, iam(1, "2001"))
 	cic := r.one(two, isup.IAM).CIC
 	acm := isup.Message{Type: isup.ACM, CIC: 1}
 	r.unsent[left] = m3ua.Append(nil, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: 1, DPC: 900, SI: 5, SLS: 1, User: isup.Append(nil, &acm)}})
 	r.unsent[left] = m3ua.Append(r.unsent[left], &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 1}}})
-	r.full = map[Assoc]bool{left: true}
+	r.full = map[AssocID]bool{left: true}
 	r.from(two, 2, isup.Message{Type: isup.ANM, CIC: cic})
 	if m := r.take(right); len(m) != 2 || m[0].Type != isup.ACM || m[1].Type != isup.CON {
 		t.Fatalf("%v", types(m))
--- a/controller/session_test.go
+++ b/controller/session_test.go
@@ -30,7 +30,7 @@
 	byRef map[uint32]*watched
 	refs  uint32
 	out   map[string]*watched // by association and circuit: whose attempt is out
-	assoc map[Assoc]bool
+	assoc map[AssocID]bool
 }
 
 type watched struct {
@@ -48,7 +48,7 @@
 	w.t.Errorf("session %d at %v: %s", w.seed, w.now, fmt.Sprintf(format, args...))
 }
 
-func key(a Assoc, cic uint16) string { return fmt.Sprint(a, "/", cic) }
+func key(a AssocID, cic uint16) string { return fmt.Sprint(a, "/", cic) }
 
 // ended notes that an attempt is out no more; with guard, the call may not be sent again for that long.
 func (w *watch) ended(k string, guard bool) {
@@ -63,7 +63,7 @@
 
 // look judges what was sent since the last look.
 func (w *watch) look() {
-	for _, a := range []Assoc{two, three} {
+	for _, a := range []AssocID{two, three} {
 		for _, m := range w.take(a) {
 			k := key(a, m.CIC)
 			switch m.Type {
@@ -122,7 +122,7 @@
 			c.Classes[i].Patience, c.Classes[i].Ring = 2*sec, 2*sec
 		}
 	}), rng: rand.New(rand.NewPCG(seed, 1)), seed: seed,
-		calls: map[uint16]*watched{}, byRef: map[uint32]*watched{}, out: map[string]*watched{}, assoc: map[Assoc]bool{two: true, three: true, own: true}}
+		calls: map[uint16]*watched{}, byRef: map[uint32]*watched{}, out: map[string]*watched{}, assoc: map[AssocID]bool{two: true, three: true, own: true}}
 	return w
 }
 
@@ -161,7 +161,7 @@
 // step plays one random thing.
 func (w *watch) step() {
 	far := []struct {
-		a  Assoc
+		a  AssocID
 		pc uint32
 	}{{two, 2}, {three, 3}}[w.rng.IntN(2)]
 	switch op := w.rng.IntN(100); {
@@ -184,7 +184,7 @@
 		}
 	case op < 65: // a switch answers one of its attempts
 		if k, ok := oneOf(w.rng, w.out); ok {
-			var a Assoc
+			var a AssocID
 			var cic uint16
 			fmt.Sscanf(k, "%d/%d", &a, &cic)
 			pc := uint32(a) - 100
@@ -228,21 +228,21 @@
 		w.from(client, 900, m)
 	case op < 89: // an association breaks and comes again
 		for k := range w.out {
-			var a Assoc
+			var a AssocID
 			var cic uint16
 			if fmt.Sscanf(k, "%d/%d", &a, &cic); a == far.a {
 				w.ended(k, true)
 			}
 		}
-		w.c.Down(w.now, far.a)
+		w.c.AssocDown(w.now, far.a)
 		w.flush()
 		w.look()
 		w.up(far.a, far.pc, []string{"h2", "h3"}[far.pc-2], w.rng.IntN(2) == 0)
 	case op < 92:
 		w.ssnm(own, []m3ua.Kind{m3ua.DUNA, m3ua.DAVA, m3ua.DRST, m3ua.DAVA}[w.rng.IntN(4)], far.pc)
 	case op < 93:
-		w.c.Down(w.now, own)
-		w.c.Up(w.now, own, Peer{Kind: OwnSwitch, PC: 1})
+		w.c.AssocDown(w.now, own)
+		w.c.AssocUp(w.now, own, Peer{Kind: OwnSwitch, PC: 1})
 		w.flush()
 	default:
 		w.pass(time.Duration(w.rng.IntN(400)) * ms)
@@ -258,7 +258,7 @@
 }
 
 // endedIfLost ends an attempt that a reset or blocking message of the switch ends.
-func (w *watch) endedIfLost(a Assoc, cic uint16, m isup.Message) {
+func (w *watch) endedIfLost(a AssocID, cic uint16, m isup.Message) {
 	if m.Type == isup.CGB {
 		i := cic - m.CIC
 		if m.Supervision != isup.Hardware || m.Status[i/8]>>(i%8)&1 == 0 {
--- a/daemon/connect.go
+++ b/daemon/connect.go
@@ -36,7 +36,7 @@
 	x := &p.cfg.Clients[i]
 	l.peer.Name, l.peer.Tenant = x.Name, p.cfg.Tenant(x.Tenant)
 	if len(x.Associations) > 0 {
-		l.peer.Server, l.peer.Mode = x.Name, config.Modes[x.Mode]
+		l.peer.Server, l.peer.Mode = x.Name, config.TrafficModes[x.Mode]
 	}
 	return true
 }
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -202,7 +202,7 @@
 			if v.Address == "" {
 				state = "own"
 			}
-			text = append(text, fmt.Sprintf("%-6d %-22s %-18s window %5.1f, held %d, load %.2f, awaiting an answer %d", v.PointCode, v.Address, state, v.Window, v.Held, v.Load, v.Out))
+			text = append(text, fmt.Sprintf("%-6d %-22s %-18s window %5.1f, held %d, load %.2f, awaiting an answer %d", v.PointCode, v.Address, state, v.Window, v.SlotsHeld, v.Load, v.Pending))
 		}
 	case "associations":
 		slices.Sort(links)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -31,7 +31,7 @@
 	// Dial and Listen default to TCP; tests hand in pipes.
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Listen func(addr string) (net.Listener, error)
-	Module func(policy.Config) (controller.Module, error) // for comparisons only; nil: policy.New
+	Engine func(policy.Config) (controller.Engine, error) // for comparisons only; nil: policy.New
 	// Capture, if set, is given every frame of every association; it must not wait.
 	Capture func(at time.Time, from, to net.Addr, frame []byte)
 }
@@ -45,7 +45,7 @@
 	start   time.Time
 	core    *controller.Core
 	events  chan event
-	links   map[controller.Assoc]*link // of the decision goroutine
+	links   map[controller.AssocID]*link // of the decision goroutine
 	touched []*link
 	lost    *link // that goes down now
 	nextID  atomic.Uint32
@@ -96,7 +96,7 @@
 // New makes a daemon and opens its listeners, so that their addresses are known before Run.
 func New(o Options) (*Daemon, error) {
 	d := &Daemon{cfg: o.Config, log: o.Log, dial: o.Dial, listen: o.Listen, start: time.Now(), capture: o.Capture,
-		events: make(chan event, o.Config.Limits.Events), links: map[controller.Assoc]*link{}, drain: make(chan struct{})}
+		events: make(chan event, o.Config.Limits.Events), links: map[controller.AssocID]*link{}, drain: make(chan struct{})}
 	if d.dial == nil {
 		var nd net.Dialer
 		d.dial = func(ctx context.Context, addr string) (net.Conn, error) { return nd.DialContext(ctx, "tcp", addr) }
@@ -116,11 +116,11 @@
 		if err != nil {
 			return nil, err
 		}
-		d.hooks.book.Put(s)
+		d.hooks.book.Activate(s)
 	}
 	var err error
 	core := o.Config.Controller()
-	core.Module, core.Hooks = o.Module, d.hooks
+	core.Engine, core.Hooks = o.Engine, d.hooks
 	if d.core, err = controller.New(core, port{d}, d.now()); err != nil {
 		return nil, err
 	}
@@ -276,14 +276,14 @@
 func (d *Daemon) wakeWriters() {
 	for _, l := range d.touched {
 		l.touched = false
-		l.box.Nudge()
+		l.box.Notify()
 	}
 	d.touched = d.touched[:0]
 }
 
 // guarded runs f of the decision goroutine; a panic costs the link it came by, if any, and not the daemon.
 func (d *Daemon) guarded(where string, l *link, f func()) {
-	if !d.group.Guard(where, f) && l != nil {
+	if !d.group.RunRecovered(where, f) && l != nil {
 		l.close("panic")
 	}
 }
@@ -294,13 +294,13 @@
 	case evUp:
 		d.links[l.id] = l
 		d.log.Info().Stringer("peer", l).Msg("association active")
-		d.guarded("up", l, func() { d.core.Up(d.now(), l.id, l.peer) })
+		d.guarded("up", l, func() { d.core.AssocUp(d.now(), l.id, l.peer) })
 	case evDown:
 		if d.links[l.id] == l {
 			delete(d.links, l.id)
 			d.lost = l // for what it has not sent
 			d.log.Warn().Stringer("peer", l).Str("why", l.box.Reason()).Msg("association down")
-			d.guarded("down", nil, func() { d.core.Down(d.now(), l.id) })
+			d.guarded("down", nil, func() { d.core.AssocDown(d.now(), l.id) })
 			d.lost = nil
 		}
 	case evUnreachable:
@@ -310,7 +310,7 @@
 	case evAdvice:
 		d.guarded("advice", nil, func() { d.core.Advise(d.now(), ev.id, ev.pc, ev.advice) })
 	case evFrames:
-		d.core.Late(d.now()-ev.at, 1)
+		d.core.RecordQueueDelay(d.now()-ev.at, 1)
 		d.guarded("frames", l, func() { d.frames(l, *ev.batch) })
 		batches.Put(ev.batch)
 	}
@@ -396,7 +396,7 @@
 // port is the controller's way to the links.
 type port struct{ d *Daemon }
 
-func (p port) Send(a controller.Assoc, frame []byte) bool {
+func (p port) Send(a controller.AssocID, frame []byte) bool {
 	l := p.d.links[a]
 	if l == nil || !l.box.Put(frame) {
 		return false
@@ -408,14 +408,14 @@
 	return true
 }
 
-func (p port) Close(a controller.Assoc, why string) {
+func (p port) Close(a controller.AssocID, why string) {
 	if l := p.d.links[a]; l != nil {
 		l.close(why)
 	}
 }
 
 // Unsent ends the link too: its writer takes nothing more from what is queued.
-func (p port) Unsent(a controller.Assoc) []byte {
+func (p port) Unsent(a controller.AssocID) []byte {
 	l := p.d.links[a]
 	if l == nil {
 		l = p.d.lost
@@ -427,7 +427,7 @@
 	return l.box.Unsent()
 }
 
-func (p port) Ended(e controller.Ending) {
+func (p port) CallEnded(e controller.CallRecord) {
 	p.d.metrics.ended(e)
 	if e.Set.Has(script.Final) {
 		if p.d.hooks.post(hookJob{final: &e}) {
@@ -448,7 +448,7 @@
 }
 
 // line logs the end of a call, with what its final hooks made of it, if there were any.
-func (o *oddLog) line(e controller.Ending, a *hooks.Advice) {
+func (o *oddLog) line(e controller.CallRecord, a *hooks.Advice) {
 	switch {
 	case e.Outcome == controller.Failed, e.Outcome == controller.Cut, e.Outcome == controller.Refused:
 	case a != nil && len(a.Tags)+len(a.Logs) > 0:
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -32,7 +32,7 @@
 // rig is a daemon of exchange 1 with its own switch and that of exchange 2.
 type rig struct {
 	t        *testing.T
-	net      *emulator.Net
+	net      *emulator.Network
 	switches []*emulator.Switch
 	d        *Daemon
 	done     chan error
@@ -46,7 +46,7 @@
 }
 
 func memory() world {
-	n := &memnet.Net{}
+	n := &memnet.Network{}
 	return world{n.Dial, n.Listen}
 }
 
@@ -58,7 +58,7 @@
 
 func newRig(t *testing.T, w world, change func(*config.Config, *Options)) *rig {
 	t.Helper()
-	r := &rig{t: t, net: &emulator.Net{Dial: w.dial, Listen: w.listen, Log: record.New()}, done: make(chan error, 1)}
+	r := &rig{t: t, net: &emulator.Network{Dial: w.dial, Listen: w.listen, Log: record.New()}, done: make(chan error, 1)}
 	c := config.Default()
 	c.Exchange, c.Listen = 1, "127.0.0.1:0"
 	c.Classes = []config.Class{{Name: "a", Aim: 1500 * time.Millisecond, Patience: 3 * time.Second, Worth: 1}}
@@ -200,20 +200,20 @@
 }
 
 // bomb is a module that panics when a certain number is called.
-type bomb struct{ controller.Module }
+type bomb struct{ controller.Engine }
 
 func (b bomb) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
 	if o, ok := ev.(policy.Offered); ok && strings.HasSuffix(o.Number, "666") {
 		panic("the number of the beast")
 	}
-	return b.Module.Handle(now, ev, out)
+	return b.Engine.Handle(now, ev, out)
 }
 
 // A panic that a client's frame sets off costs that client its connection, and nobody else anything.
 func TestPanicCostsItsLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, memory(), func(_ *config.Config, o *Options) {
-			o.Module = func(c policy.Config) (controller.Module, error) {
+			o.Engine = func(c policy.Config) (controller.Engine, error) {
 				m, err := policy.New(c)
 				return bomb{m}, err
 			}
--- a/daemon/hooks.go
+++ b/daemon/hooks.go
@@ -19,13 +19,13 @@
 type hookRunner struct {
 	d    *Daemon
 	jobs chan hookJob
-	book hooks.Book // of the decision goroutine
+	book hooks.Registry // of the decision goroutine
 }
 
 type hookJob struct {
-	ask    controller.Ask // of a call that waits
+	ask    controller.HookRequest // of a call that waits
 	shadow *hooks.Set
-	final  *controller.Ending // of one that has ended: its log line waits
+	final  *controller.CallRecord // of one that has ended: its log line waits
 	list   *script.Event
 	set    *hooks.Set // of list
 }
@@ -37,8 +37,8 @@
 // Live is the set that new calls belong to.
 func (h *hookRunner) Live() *hooks.Set { return h.book.Live() }
 
-// Ask queues a question; false: the queue is full.
-func (h *hookRunner) Ask(a controller.Ask) bool {
+// Submit queues a question; false: the queue is full.
+func (h *hookRunner) Submit(a controller.HookRequest) bool {
 	return h.post(hookJob{ask: a, shadow: h.book.Shadow()})
 }
 
@@ -65,7 +65,7 @@
 }
 
 func (h *hookRunner) one(ctx context.Context, r *hooks.Runner, j hookJob) {
-	defer func() { h.d.group.Caught("hook", recover()) }()
+	defer func() { h.d.group.Recovered("hook", recover()) }()
 	now := h.d.now()
 	switch {
 	case j.final != nil:
@@ -91,11 +91,11 @@
 		if j.shadow != nil {
 			b := &hooks.Advice{}
 			h.answer(r, j.shadow, &j.ask, now, b)
-			diff := hooks.Differs(a, b)
+			diff := hooks.Diff(a, b)
 			select {
 			case h.d.events <- event{kind: evCall, call: func() {
 				if h.book.Shadow() == j.shadow {
-					h.book.Compare(j.ask.Kind, diff)
+					h.book.AddComparison(j.ask.Kind, diff)
 				}
 			}}:
 			case <-ctx.Done():
@@ -104,7 +104,7 @@
 	}
 }
 
-func (h *hookRunner) answer(r *hooks.Runner, s *hooks.Set, q *controller.Ask, now time.Duration, a *hooks.Advice) {
+func (h *hookRunner) answer(r *hooks.Runner, s *hooks.Set, q *controller.HookRequest, now time.Duration, a *hooks.Advice) {
 	r.Run(s, q.Kind, &q.Event, now, a)
 	if q.Kind == script.Arrival && a.Refuse == 0 {
 		ev := q.Event
@@ -239,7 +239,7 @@
 	if err != nil {
 		return err
 	}
-	d.hooks.book.Put(s)
+	d.hooks.book.Activate(s)
 	return nil
 }
 
@@ -258,11 +258,11 @@
 
 func (d *Daemon) useHooks(s *hooks.Set, shadow bool) {
 	if shadow {
-		d.hooks.book.Try(s)
+		d.hooks.book.SetShadow(s)
 		d.log.Info().Stringer("set", s).Msg("scripts on trial")
 		return
 	}
-	d.hooks.book.Put(s)
+	d.hooks.book.Activate(s)
 	d.log.Info().Stringer("set", s).Msg("scripts in use")
 }
 
@@ -278,14 +278,14 @@
 		}
 		return err
 	case len(args) == 2 && args[0] == "shadow" && args[1] == "off":
-		return d.do(ctx, func() { d.hooks.book.Try(nil) })
+		return d.do(ctx, func() { d.hooks.book.SetShadow(nil) })
 	case len(args) >= 2 && args[0] == "shadow":
 		return d.LoadHooks(ctx, args[1:], nil, true)
 	}
 	return errors.New("hooks load, hooks rollback, hooks shadow FILE... and hooks shadow off can be")
 }
 
-func (d *Daemon) finalEvent(e *controller.Ending) script.Event {
+func (d *Daemon) finalEvent(e *controller.CallRecord) script.Event {
 	c := script.Call{Called: e.Called.String(), Calling: e.Calling.String(), Category: int(e.Category), Transit: e.Transit, To: int(e.To), Attempts: e.Attempts, Age: e.After}
 	if e.Class < len(d.cfg.Classes) {
 		c.Class = d.cfg.Classes[e.Class].Name
@@ -296,8 +296,8 @@
 	return script.FinalEvent(c, e.Outcome.String(), int(e.Cause), int(e.Via), e.After)
 }
 
-// Listed hands changes of the list to the hooks.
-func (p port) Listed(e policy.Entry, cold bool) {
+// ExchangeChanged hands changes of the list to the hooks.
+func (p port) ExchangeChanged(e policy.Entry, cold bool) {
 	h := p.d.hooks
 	if s := h.book.Live(); s.Has(script.ListChange) {
 		ev := script.ListEvent(e.PointCode, [...]string{"ready", "draining", "gone"}[e.Health], cold)
--- a/daemon/hooks_test.go
+++ b/daemon/hooks_test.go
@@ -115,7 +115,7 @@
 		if n := r.counters(); n.HookAsked != 11 {
 			t.Errorf("%+v", n)
 		}
-		r.switches[0].Tell(0x0206, 2) // DRST
+		r.switches[0].SendStatus(0x0206, 2) // DRST
 		time.Sleep(3 * time.Second)
 		c.Close()
 		r.close()
--- a/daemon/link.go
+++ b/daemon/link.go
@@ -17,10 +17,10 @@
 // link is one association on one connection: a reader, a writer, and the state machine between them.
 type link struct {
 	d       *Daemon
-	id      controller.Assoc
+	id      controller.AssocID
 	peer    controller.Peer
 	conn    net.Conn
-	box     *outbox.Box   // frames on their way
+	box     *outbox.Queue // frames on their way
 	flushed chan struct{} // closed when the writer has ended
 	touched bool          // of the decision goroutine
 
@@ -39,7 +39,7 @@
 }
 
 func (d *Daemon) newLink(conn net.Conn, p controller.Peer, asp *m3ua.ASP) *link {
-	return &link{d: d, id: controller.Assoc(d.nextID.Add(1)), peer: p, conn: conn, asp: asp,
+	return &link{d: d, id: controller.AssocID(d.nextID.Add(1)), peer: p, conn: conn, asp: asp,
 		box: outbox.New(d.cfg.Association.Queue), flushed: make(chan struct{})}
 }
 
@@ -89,7 +89,7 @@
 		l.close("too many malformed frames")
 		return
 	}
-	l.box.Nudge()
+	l.box.Notify()
 }
 
 // run serves the link until it ends; it is called in the goroutine that owns the connection.
@@ -99,14 +99,14 @@
 	l.d.own(l.write)
 	func() {
 		defer func() {
-			if l.d.group.Caught("reader", recover()) {
+			if l.d.group.Recovered("reader", recover()) {
 				l.close("panic")
 			}
 		}()
 		l.read(ctx)
 	}()
 	l.conn.Close()
-	l.box.Nudge()
+	l.box.Notify()
 	<-l.flushed
 	// The loss must not get lost: the queue is waited for as long as there is one who takes from it.
 	select {
@@ -155,7 +155,7 @@
 			id, override := l.asp.ID(), l.asp.Override()
 			l.mu.Unlock()
 			if asked {
-				l.box.Nudge()
+				l.box.Notify()
 			}
 			switch outcome {
 			case m3ua.Deliver:
@@ -171,7 +171,7 @@
 				if !pass(event{kind: evUp, link: l}) {
 					return
 				}
-			case m3ua.Deactived, m3ua.Broken:
+			case m3ua.Deactivated, m3ua.Broken:
 				// Traffic ends; a peer that wants it again connects anew, so that nothing old is mixed in.
 				l.close("the peer has taken the association down")
 				return
@@ -207,7 +207,7 @@
 func (l *link) write() {
 	defer close(l.flushed)
 	defer func() {
-		if l.d.group.Caught("writer", recover()) {
+		if l.d.group.Recovered("writer", recover()) {
 			l.close("panic")
 		}
 	}()
@@ -262,7 +262,7 @@
 		}
 		timer.Reset(max(0, next-l.d.now()))
 		select {
-		case <-l.box.Wake():
+		case <-l.box.Ready():
 		case <-timer.C:
 		}
 	}
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -53,12 +53,12 @@
 	return m
 }
 
-func (m *metrics) ended(e controller.Ending) {
+func (m *metrics) ended(e controller.CallRecord) {
 	if e.Class >= len(m.stands) {
 		return
 	}
 	m.outcomes.WithLabelValues(m.d.cfg.Classes[e.Class].Name, e.Outcome.String()).Inc()
-	if e.Outcome == controller.Stands {
+	if e.Outcome == controller.Answered {
 		m.stands[e.Class].Observe(e.SetUp.Seconds())
 		m.answers[e.Class].Observe(e.After.Seconds())
 	}
--- a/emulator/client.go
+++ b/emulator/client.go
@@ -34,7 +34,7 @@
 // Client offers calls to one controller. Its methods may be called from any goroutine.
 type Client struct {
 	cfg    ClientConfig
-	net    *Net
+	net    *Network
 	events chan func()
 	quit   chan struct{}
 	wg     sync.WaitGroup
@@ -69,7 +69,7 @@
 }
 
 // NewClient makes a client that connects and stays connected until Close.
-func NewClient(n *Net, cfg ClientConfig) *Client {
+func NewClient(n *Network, cfg ClientConfig) *Client {
 	c := &Client{cfg: cfg, net: n, events: make(chan func(), 4096), quit: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.PC))), calls: map[uint16]*clCall{}}
 	c.wg.Add(2)
@@ -136,8 +136,8 @@
 	})
 }
 
-// Quiet ends all redialling, at the end of a day.
-func (c *Client) Quiet() { c.do(func() { c.stopped = true }) }
+// StopRedials ends all redialling, at the end of a day.
+func (c *Client) StopRedials() { c.do(func() { c.stopped = true }) }
 
 // Offer makes a call.
 func (c *Client) Offer(call Call) { c.do(func() { c.try(call) }) }
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -15,40 +15,40 @@
 	"github.com/umbergauge/umbergauge/record"
 )
 
-// Net is what lies between exchanges: how long messages take, and who cannot reach whom. Frames on a cut way wait, as a
+// Network is what lies between exchanges: how long messages take, and who cannot reach whom. Frames on a cut way wait, as a
 // transport that repeats what is lost makes them.
-type Net struct {
+type Network struct {
 	Listen func(addr string) (net.Listener, error)
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Log    *record.Log
-	// Faults, if set, is asked about each frame that passes a socket; fromController tells its direction. It is called from
+	// FrameFaults, if set, is asked about each frame that passes a socket; fromController tells its direction. It is called from
 	// many goroutines.
-	Faults func(k record.Kind, fromController bool, frame []byte) Fault
+	FrameFaults func(k record.LinkKind, fromController bool, frame []byte) FrameFault
 
 	mu    sync.Mutex
 	delay func(a, b uint32) time.Duration
 	cut   map[[2]uint32]int
 }
 
-// Fault is what befalls a frame.
-type Fault uint8
+// FrameFault is what befalls a frame.
+type FrameFault uint8
 
 // The faults.
 const (
-	Pass        Fault = iota
-	ResetBefore       // the connection breaks and the frame is lost
-	ResetAfter        // the frame passes, then the connection breaks
+	Pass        FrameFault = iota
+	ResetBefore            // the connection breaks and the frame is lost
+	ResetAfter             // the frame passes, then the connection breaks
 )
 
 // SetDelay sets the one-way time between exchanges.
-func (n *Net) SetDelay(f func(a, b uint32) time.Duration) {
+func (n *Network) SetDelay(f func(a, b uint32) time.Duration) {
 	n.mu.Lock()
 	n.delay = f
 	n.mu.Unlock()
 }
 
 // Cut cuts or restores the way between two exchanges, both directions.
-func (n *Net) Cut(a, b uint32, on bool) {
+func (n *Network) Cut(a, b uint32, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cut == nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-func (n *Net) way(a, b uint32) (time.Duration, bool) {
+func (n *Network) way(a, b uint32) (time.Duration, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	d := time.Duration(0)
@@ -110,7 +110,7 @@
 
 // wire is one connection of a stand-in, that of a switch or a client.
 type wire struct {
-	net   *Net
+	net   *Network
 	conn  net.Conn
 	here  uint32        // exchange of the stand-in, for the way
 	there atomic.Uint32 // exchange of the controller
@@ -123,7 +123,7 @@
 
 const wireQueue = 8192
 
-func newWire(n *Net, conn net.Conn, here, there uint32) *wire {
+func newWire(n *Network, conn net.Conn, here, there uint32) *wire {
 	w := &wire{net: n, conn: conn, here: here, link: -1, out: make(chan flight, wireQueue), done: make(chan struct{})}
 	w.there.Store(there)
 	return w
@@ -173,11 +173,11 @@
 		Data: m3ua.ProtocolData{OPC: opc, DPC: dpc, SI: m3ua.ServiceISUP, NI: 2, SLS: byte(m.CIC & 15), User: isup.Append(nil, m)}})
 }
 
-func (w *wire) fault(link int32, fromController bool, f []byte) Fault {
-	if w.net.Faults == nil || link < 0 {
+func (w *wire) fault(link int32, fromController bool, f []byte) FrameFault {
+	if w.net.FrameFaults == nil || link < 0 {
 		return Pass
 	}
-	return w.net.Faults(w.net.Log.Kind(link), fromController, f)
+	return w.net.FrameFaults(w.net.Log.Kind(link), fromController, f)
 }
 
 // writer writes frames to the socket as they come out of the way.
--- a/emulator/subscriber.go
+++ b/emulator/subscriber.go
@@ -49,23 +49,23 @@
 	return s
 }
 
-// Thin is a kind of fault that befalls single set-ups at a switch that is otherwise well.
-type Thin uint8
+// CallFault is a kind of fault that befalls single set-ups at a switch that is otherwise well.
+type CallFault uint8
 
 // The kinds.
 const (
-	ThinFull   Thin = iota // turned away as if its processor were full: cause 42
-	ThinSilent             // taken and never answered
-	ThinReset              // the circuit is reset (RSC)
-	ThinFailed             // released with cause 41
+	CallFaultFull     CallFault = iota // turned away as if its processor were full: cause 42
+	CallFaultSilent                    // taken and never answered
+	CallFaultReset                     // the circuit is reset (RSC)
+	CallFaultReleased                  // released with cause 41
 	thinKinds
 )
 
-// Thin sets the share of set-ups that a kind of fault befalls.
-func (s *Switch) Thin(kind Thin, share float64) { s.do(func() { s.thin[kind] = share }) }
+// SetCallFault sets the share of set-ups that a kind of fault befalls.
+func (s *Switch) SetCallFault(kind CallFault, share float64) { s.do(func() { s.thin[kind] = share }) }
 
 // thinFault draws whether a set-up meets a thin fault.
-func (s *Switch) thinFault() (Thin, bool) {
+func (s *Switch) thinFault() (CallFault, bool) {
 	x := -1.0
 	for k, share := range s.thin {
 		if share <= 0 {
@@ -75,7 +75,7 @@
 			x = s.rng.Float64()
 		}
 		if x < share {
-			return Thin(k), true
+			return CallFault(k), true
 		}
 		x -= share
 	}
--- a/emulator/switch.go
+++ b/emulator/switch.go
@@ -21,31 +21,31 @@
 	Circuits map[uint32]int // trunk groups by far exchange
 	Seed     uint64
 
-	Rate         float64       // set-ups a second that the warm processor can take; 0: any number
-	FollowWork   float64       // work of an answer or a release, in set-ups
-	RejectWork   float64       // work of turning a set-up away, in set-ups
-	FullAfter    time.Duration // set-ups are turned away once they would wait so long
-	AnswersFirst bool          // answers and releases go before new set-ups
-	Repeat       time.Duration // a set-up that waits is sent again after this and at doubling gaps; 0: never
-	RepeatWork   float64       // work of a repeat, in set-ups
-	DropGivenUp  bool          // a set-up given up by its sender costs nothing; else it is worked on
-	Ring         time.Duration // between ACM and ANM, of categories that Ringing lacks
-	Ringing      map[isup.Category]Ringing
-	EarlyACM     bool          // it says ACM as soon as it has read the IAM, and does the work after that
-	HangUp       float64       // share of calls that the called side ends ...
-	Hold         time.Duration // ... after this on average
-	Lines        map[string]int
-
-	ColdShare    float64 // of its capacity right after a cold start, growing to the whole ...
-	WarmUp       time.Duration
-	FallMultiple float64 // sent this multiple of its present capacity ...
-	FallSpan     time.Duration
+	Rate          float64       // set-ups a second that the warm processor can take; 0: any number
+	FollowWork    float64       // work of an answer or a release, in set-ups
+	RejectWork    float64       // work of turning a set-up away, in set-ups
+	FullAfter     time.Duration // set-ups are turned away once they would wait so long
+	AnswersFirst  bool          // answers and releases go before new set-ups
+	Repeat        time.Duration // a set-up that waits is sent again after this and at doubling gaps; 0: never
+	RepeatWork    float64       // work of a repeat, in set-ups
+	DropAbandoned bool          // a set-up given up by its sender costs nothing; else it is worked on
+	Ring          time.Duration // between ACM and ANM, of categories that Ringing lacks
+	Ringing       map[isup.Category]Ringing
+	EarlyACM      bool          // it says ACM as soon as it has read the IAM, and does the work after that
+	HangUp        float64       // share of calls that the called side ends ...
+	Hold          time.Duration // ... after this on average
+	Lines         map[string]int
+
+	ColdShare     float64 // of its capacity right after a cold start, growing to the whole ...
+	WarmUp        time.Duration
+	CrashMultiple float64 // sent this multiple of its present capacity ...
+	CrashSpan     time.Duration
 }
 
 // Switch is one stand-in switch. Its methods may be called from any goroutine.
 type Switch struct {
 	cfg SwitchConfig
-	net *Net
+	net *Network
 
 	events chan func()
 	quit   chan struct{}
@@ -96,7 +96,7 @@
 }
 
 // NewSwitch makes a switch that is not started yet.
-func NewSwitch(n *Net, cfg SwitchConfig) *Switch {
+func NewSwitch(n *Network, cfg SwitchConfig) *Switch {
 	s := &Switch{cfg: cfg, net: n, events: make(chan func(), 4096), quit: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.PC))), proc: newProcessor(cfg.AnswersFirst), wires: map[uint32]*wire{},
 		calls: map[circuitKey]*swCall{}, lines: map[string]int{}, list: map[uint32]m3ua.Kind{}, lost: map[uint32][]uint16{}}
@@ -159,7 +159,7 @@
 		}
 		s.up, s.cold, s.started, s.listener = true, cold, time.Now(), l
 		s.gen++
-		s.net.Log.Mark(record.Mark{Kind: record.Started, PC: s.cfg.PC, Cold: cold, Value: s.cfg.Rate})
+		s.net.Log.Event(record.Event{Kind: record.Started, PC: s.cfg.PC, Cold: cold, Value: s.cfg.Rate})
 		s.wg.Add(1)
 		go s.accept(l)
 	})
@@ -189,7 +189,7 @@
 		s.ageing.Stop()
 		s.ageing = nil
 	}
-	s.net.Log.Mark(record.Mark{Kind: record.Stopped, PC: s.cfg.PC})
+	s.net.Log.Event(record.Event{Kind: record.Stopped, PC: s.cfg.PC})
 }
 
 // Hang lets the processor take set-ups and answer none.
@@ -207,8 +207,8 @@
 	})
 }
 
-// Tell hands the register's word on an exchange to the own controller: DAVA, DRST or DUNA.
-func (s *Switch) Tell(k m3ua.Kind, pc uint32) {
+// SendStatus hands the register's word on an exchange to the own controller: DAVA, DRST or DUNA.
+func (s *Switch) SendStatus(k m3ua.Kind, pc uint32) {
 	s.do(func() {
 		s.list[pc] = k
 		if s.up && s.own != nil {
@@ -285,8 +285,8 @@
 	})
 }
 
-// Age makes the processor slower and slower until it dies: after span it takes times as long.
-func (s *Switch) Age(span time.Duration, times float64) {
+// Degrade makes the processor slower and slower until it dies: after span it takes times as long.
+func (s *Switch) Degrade(span time.Duration, times float64) {
 	s.do(func() {
 		begin, gen := time.Now(), s.gen
 		const step = 200 * time.Millisecond
@@ -307,8 +307,8 @@
 	})
 }
 
-// Busy limits the lines of a number; 0 lifts the limit.
-func (s *Switch) Busy(number string, lines int) {
+// LimitLines limits the lines of a number; 0 lifts the limit.
+func (s *Switch) LimitLines(number string, lines int) {
 	s.do(func() {
 		if s.cfg.Lines == nil {
 			s.cfg.Lines = map[string]int{}
@@ -607,11 +607,11 @@
 	}
 	if kind, yes := s.thinFault(); yes {
 		switch kind {
-		case ThinFull:
+		case CallFaultFull:
 			s.releaseAt(c, isup.CauseCongestion, loc)
-		case ThinFailed:
+		case CallFaultReleased:
 			s.releaseAt(c, isup.CauseTemporary, loc)
-		case ThinReset:
+		case CallFaultReset:
 			s.forget(key)
 			s.toOwn(key.far, &isup.Message{Type: isup.RSC, CIC: key.cic})
 			s.toFar(key.far, &isup.Message{Type: isup.RSC, CIC: key.cic})
@@ -623,7 +623,7 @@
 	}
 	s.proc.add(job{work: s.work(1) * time.Duration(85+s.rng.IntN(31)) / 100, setUp: true,
 		extra: func(waited time.Duration) time.Duration {
-			if c.gone && s.cfg.DropGivenUp {
+			if c.gone && s.cfg.DropAbandoned {
 				return -s.work(1)
 			}
 			extra := time.Duration(0)
@@ -643,11 +643,11 @@
 func (s *Switch) pushed() bool {
 	now := time.Now()
 	s.recent = append(s.recent, now)
-	for len(s.recent) > 0 && now.Sub(s.recent[0]) > s.cfg.FallSpan {
+	for len(s.recent) > 0 && now.Sub(s.recent[0]) > s.cfg.CrashSpan {
 		s.recent = s.recent[1:]
 	}
-	limit := s.cfg.FallMultiple * s.cfg.Rate * s.capacity() * s.cfg.FallSpan.Seconds()
-	if s.cfg.FallMultiple > 0 && float64(len(s.recent)) > limit {
+	limit := s.cfg.CrashMultiple * s.cfg.Rate * s.capacity() * s.cfg.CrashSpan.Seconds()
+	if s.cfg.CrashMultiple > 0 && float64(len(s.recent)) > limit {
 		s.dead = true
 		s.stop()
 		return true
--- a/emulator/switchset/switchset.go
+++ b/emulator/switchset/switchset.go
@@ -39,11 +39,11 @@
 	EarlyACM     bool          `yaml:"early_acm"`
 	HangUp       float64       `yaml:"hang_up"`
 	Hold         time.Duration `yaml:"hold"`
-	Thin         Thin          `yaml:"thin"`
+	CallFaults   CallFaults    `yaml:"thin"`
 }
 
-// Thin are shares of set-ups that meet a fault though the switch is well.
-type Thin struct {
+// CallFaults are shares of set-ups that meet a fault though the switch is well.
+type CallFaults struct {
 	Full   float64 `yaml:"full"`
 	Silent float64 `yaml:"silent"`
 	Reset  float64 `yaml:"reset"`
@@ -98,7 +98,7 @@
 		for _, p := range []struct {
 			key string
 			v   float64
-		}{{"hang_up", x.HangUp}, {"thin.full", x.Thin.Full}, {"thin.silent", x.Thin.Silent}, {"thin.reset", x.Thin.Reset}, {"thin.failed", x.Thin.Failed}} {
+		}{{"hang_up", x.HangUp}, {"thin.full", x.CallFaults.Full}, {"thin.silent", x.CallFaults.Silent}, {"thin.reset", x.CallFaults.Reset}, {"thin.failed", x.CallFaults.Failed}} {
 			v.Must(p.v >= 0 && p.v <= 1, key(p.key), "%v; 0 to 1 can be", p.v)
 			sum += p.v
 		}
@@ -125,7 +125,7 @@
 	log := record.New()
 	log.Discard()
 	var nd net.Dialer
-	sn := &emulator.Net{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
+	sn := &emulator.Network{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
 		Dial: func(ctx context.Context, a string) (net.Conn, error) { return nd.DialContext(ctx, "tcp", a) }}
 	sn.SetDelay(func(a, b uint32) time.Duration {
 		if a == b {
@@ -149,9 +149,9 @@
 			return nil, fmt.Errorf("switch %d: %w", x.PointCode, err)
 		}
 		s.Addrs[x.PointCode] = addr
-		for kind, share := range map[emulator.Thin]float64{emulator.ThinFull: x.Thin.Full, emulator.ThinSilent: x.Thin.Silent,
-			emulator.ThinReset: x.Thin.Reset, emulator.ThinFailed: x.Thin.Failed} {
-			sw.Thin(kind, share)
+		for kind, share := range map[emulator.CallFault]float64{emulator.CallFaultFull: x.CallFaults.Full, emulator.CallFaultSilent: x.CallFaults.Silent,
+			emulator.CallFaultReset: x.CallFaults.Reset, emulator.CallFaultReleased: x.CallFaults.Failed} {
+			sw.SetCallFault(kind, share)
 		}
 	}
 	return s, nil
--- a/hooks/hooks_test.go
+++ b/hooks/hooks_test.go
@@ -56,7 +56,7 @@
 			t.Fatalf("%d: %+v", i, a)
 		}
 	}
-	if !s.Refuses(script.Arrival) || s.Refuses(script.Route) {
+	if !s.RefusesOnTimeout(script.Arrival) || s.RefusesOnTimeout(script.Route) {
 		t.Error("which kinds refuse is told wrongly")
 	}
 }
@@ -145,12 +145,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b Book
+	var b Registry
 	one := set(t, nil, text)
 	if err := one.Check(ex); err != nil {
 		t.Fatal(err)
 	}
-	b.Put(one)
+	b.Activate(one)
 	advise(one, script.Arrival, 1)
 	two := set(t, one, strings.Replace(text, "8201*", "8202*", 1))
 	if err := two.Check(ex); err == nil || !strings.Contains(err.Error(), "example 1 (arrival)") {
@@ -159,7 +159,7 @@
 	if a := advise(two, script.Arrival, 1); fmt.Sprint(a.Tags) != "[again]" {
 		t.Errorf("the counter does not go on: %+v", a) // and the trial has not touched it
 	}
-	b.Put(two)
+	b.Activate(two)
 	if b.Live().Version != 2 || b.RollBack() != nil || b.Live() != one || b.RollBack() == nil {
 		t.Error("rolling back")
 	}
@@ -178,13 +178,13 @@
 }
 
 func TestShadow(t *testing.T) {
-	var b Book
+	var b Registry
 	live, shadow := set(t, nil, "on arrival {\n\tset_class(\"map\")\n}\n"), set(t, nil, "on arrival {\n\tset_class(\"storm\")\n}\n")
-	b.Put(live)
-	b.Try(shadow)
+	b.Activate(live)
+	b.SetShadow(shadow)
 	x, y := advise(live, script.Arrival, 1), advise(shadow, script.Arrival, 1)
-	b.Compare(script.Arrival, Differs(&x, &y))
-	b.Compare(script.Arrival, Differs(&x, &x))
+	b.AddComparison(script.Arrival, Diff(&x, &y))
+	b.AddComparison(script.Arrival, Diff(&x, &x))
 	if r := strings.Join(b.Report(1), "\n"); !strings.Contains(r, "2 runs, 1 differ") || !strings.Contains(r, "Class:storm") {
 		t.Error(r)
 	}
--- a/hooks/registry.go
+++ b/hooks/registry.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Book keeps the versions of scripts: the live one, those before it, and a shadow that is only tried. It belongs to one
+// Registry keeps the versions of scripts: the live one, those before it, and a shadow that is only tried. It belongs to one
 // goroutine; the sets that it hands out may be run by others.
-type Book struct {
+type Registry struct {
 	live, shadow *Set
 	past         []*Set
 	next         int
@@ -21,13 +21,13 @@
 const maxPast = 10
 
 // Live is the set that new calls belong to; nil: there is none.
-func (b *Book) Live() *Set { return b.live }
+func (b *Registry) Live() *Set { return b.live }
 
 // Shadow is the set that is tried beside it, or nil.
-func (b *Book) Shadow() *Set { return b.shadow }
+func (b *Registry) Shadow() *Set { return b.shadow }
 
-// Put makes a set the live one at this instant. Calls that have come before keep theirs.
-func (b *Book) Put(s *Set) {
+// Activate makes a set the live one at this instant. Calls that have come before keep theirs.
+func (b *Registry) Activate(s *Set) {
 	if b.live != nil {
 		b.past = append(b.past, b.live)
 		if len(b.past) > maxPast {
@@ -40,10 +40,10 @@
 }
 
 // NextVersion numbers a set that is about to be made.
-func (b *Book) NextVersion() int { return max(1, b.next) }
+func (b *Registry) NextVersion() int { return max(1, b.next) }
 
 // RollBack makes the version before the live one live again.
-func (b *Book) RollBack() error {
+func (b *Registry) RollBack() error {
 	if len(b.past) == 0 {
 		return errors.New("there is no version to go back to")
 	}
@@ -52,13 +52,13 @@
 	return nil
 }
 
-// Try begins or, with nil, ends the trial of a shadow.
-func (b *Book) Try(s *Set) {
+// SetShadow begins or, with nil, ends the trial of a shadow.
+func (b *Registry) SetShadow(s *Set) {
 	b.shadow, b.shadowRuns, b.shadowDiffs, b.samples = s, 0, 0, nil
 }
 
-// Compare notes how the shadow's advice differs on one event.
-func (b *Book) Compare(kind, diff string) {
+// AddComparison notes how the shadow's advice differs on one event.
+func (b *Registry) AddComparison(kind, diff string) {
 	b.shadowRuns++
 	if diff == "" {
 		return
@@ -70,7 +70,7 @@
 }
 
 // Report is what operators see: versions, hooks, and the shadow's differences.
-func (b *Book) Report(now time.Duration) []string {
+func (b *Registry) Report(now time.Duration) []string {
 	if b.live == nil && b.shadow == nil {
 		return []string{"no scripts"}
 	}
--- a/hooks/run.go
+++ b/hooks/run.go
@@ -16,9 +16,9 @@
 	Tenant  string
 	Rewrite string
 	Exclude []int // exchanges that the call is kept away from
-	Treat   int   // cause that the module reads in place of a refused attempt's
+	TreatAs int   // cause that the module reads in place of a refused attempt's
 	Tags    []string
-	Logs    []script.Pair
+	Logs    []script.LogField
 	// Failed names the hooks that failed, Notes what their breakers did.
 	Failed []string
 	Notes  []string
@@ -137,8 +137,8 @@
 			}
 		}
 	}
-	if h.kind == script.AttemptEnd && a.Treat == 0 && script.Treatable(int64(res.Treat)) {
-		a.Treat = res.Treat
+	if h.kind == script.AttemptEnd && a.TreatAs == 0 && script.Treatable(int64(res.TreatAs)) {
+		a.TreatAs = res.TreatAs
 	}
 	for _, t := range res.Tags {
 		if len(a.Tags) < 32 {
@@ -162,13 +162,13 @@
 	}
 }
 
-// Refuses tells whether a call must be refused that the hooks of a kind have not answered in time.
-func (s *Set) Refuses(kind string) bool {
+// RefusesOnTimeout tells whether a call must be refused that the hooks of a kind have not answered in time.
+func (s *Set) RefusesOnTimeout(kind string) bool {
 	return slices.ContainsFunc(s.byKind[kind], func(h *hook) bool { return h.refuse })
 }
 
-// Differs tells in a line how the advice of a shadow set differs from that of the live one; empty: it does not.
-func Differs(live, shadow *Advice) string {
+// Diff tells in a line how the advice of a shadow set differs from that of the live one; empty: it does not.
+func Diff(live, shadow *Advice) string {
 	type said struct {
 		Refuse                 int
 		Class, Tenant, Rewrite string
@@ -176,8 +176,8 @@
 		Treat                  int
 		Failed                 int
 	}
-	a := said{live.Refuse, live.Class, live.Tenant, live.Rewrite, live.Exclude, live.Treat, len(live.Failed)}
-	b := said{shadow.Refuse, shadow.Class, shadow.Tenant, shadow.Rewrite, shadow.Exclude, shadow.Treat, len(shadow.Failed)}
+	a := said{live.Refuse, live.Class, live.Tenant, live.Rewrite, live.Exclude, live.TreatAs, len(live.Failed)}
+	b := said{shadow.Refuse, shadow.Class, shadow.Tenant, shadow.Rewrite, shadow.Exclude, shadow.TreatAs, len(shadow.Failed)}
 	if x, y := fmt.Sprintf("%+v", a), fmt.Sprintf("%+v", b); x != y {
 		return fmt.Sprintf("live %s, shadow %s", x, y)
 	}
--- a/hooks/set.go
+++ b/hooks/set.go
@@ -38,7 +38,7 @@
 	Class   string   `yaml:"class"`
 	Tenant  string   `yaml:"tenant"`
 	Rewrite string   `yaml:"rewrite"`
-	Treat   int      `yaml:"treat_as"`
+	TreatAs int      `yaml:"treat_as"`
 	Tags    []string `yaml:"tags"`
 	Exclude []int    `yaml:"exclude"`
 	Fails   bool     `yaml:"fails"` // a hook is to fail
@@ -167,7 +167,7 @@
 		case x.Want.Fails:
 			continue
 		}
-		got := Want{Refuse: a.Refuse, Class: a.Class, Tenant: a.Tenant, Rewrite: a.Rewrite, Treat: a.Treat, Tags: a.Tags, Exclude: a.Exclude}
+		got := Want{Refuse: a.Refuse, Class: a.Class, Tenant: a.Tenant, Rewrite: a.Rewrite, TreatAs: a.TreatAs, Tags: a.Tags, Exclude: a.Exclude}
 		slices.Sort(got.Exclude)
 		slices.Sort(x.Want.Exclude)
 		if fmt.Sprint(got) != fmt.Sprint(x.Want) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -45,7 +45,7 @@
 	DrainLimit     time.Duration `yaml:"drain_limit"`
 	OverQuotaWorth float64       `yaml:"over_quota_worth"`
 
-	Cold        Cold        `yaml:"cold"`
+	ColdStart   ColdStart   `yaml:"cold"`
 	Classes     []Class     `yaml:"classes"`
 	Tenants     []Tenant    `yaml:"tenants"`
 	Clients     []Client    `yaml:"clients"`
@@ -71,12 +71,12 @@
 	Format string `yaml:"format"` // json or console
 }
 
-// Cold is what is known of switches that have just started.
-type Cold struct {
-	WarmUp       time.Duration `yaml:"warm_up"`
-	Share        float64       `yaml:"share"`
-	FallMultiple float64       `yaml:"fall_multiple"`
-	FallSpan     time.Duration `yaml:"fall_span"`
+// ColdStart is what is known of switches that have just started.
+type ColdStart struct {
+	WarmUp        time.Duration `yaml:"warm_up"`
+	Share         float64       `yaml:"share"`
+	CrashMultiple float64       `yaml:"fall_multiple"`
+	CrashSpan     time.Duration `yaml:"fall_span"`
 }
 
 // Class is one class of calls.
@@ -108,7 +108,7 @@
 }
 
 // Modes are the traffic modes by name (RFC 4666, 3.7.1).
-var Modes = map[string]uint32{"override": m3ua.TrafficOverride, "loadshare": m3ua.TrafficLoadshare, "broadcast": m3ua.TrafficBroadcast}
+var TrafficModes = map[string]uint32{"override": m3ua.TrafficOverride, "loadshare": m3ua.TrafficLoadshare, "broadcast": m3ua.TrafficBroadcast}
 
 // Has tells whether an ASP identifier is this client's.
 func (c *Client) Has(asp uint32) bool {
@@ -129,13 +129,13 @@
 
 // Timers are those of Q.764.
 type Timers struct {
-	T1   time.Duration `yaml:"t1"`
-	T5   time.Duration `yaml:"t5"`
-	T7   time.Duration `yaml:"t7,omitempty"`
-	T9   time.Duration `yaml:"t9,omitempty"`
-	T16  time.Duration `yaml:"t16"`
-	T28  time.Duration `yaml:"t28"`
-	Hold time.Duration `yaml:"signalling_hold"`
+	T1             time.Duration `yaml:"t1"`
+	T5             time.Duration `yaml:"t5"`
+	T7             time.Duration `yaml:"t7,omitempty"`
+	T9             time.Duration `yaml:"t9,omitempty"`
+	T16            time.Duration `yaml:"t16"`
+	T28            time.Duration `yaml:"t28"`
+	SignallingHold time.Duration `yaml:"signalling_hold"`
 }
 
 // Association is how associations are kept.
@@ -157,23 +157,23 @@
 
 // Limits bound what the daemon holds.
 type Limits struct {
-	Calls      int     `yaml:"calls"`
-	Clients    int     `yaml:"clients"`
-	Events     int     `yaml:"events"`
-	Handshakes float64 `yaml:"handshakes"` // new connections a second
-	Client     Door    `yaml:"client"`     // of each client
-	Tenant     Door    `yaml:"tenant"`     // of each tenant
-	All        Door    `yaml:"all"`        // of all clients together, shared fairly
+	Calls      int             `yaml:"calls"`
+	Clients    int             `yaml:"clients"`
+	Events     int             `yaml:"events"`
+	Handshakes float64         `yaml:"handshakes"` // new connections a second
+	Client     AdmissionLimits `yaml:"client"`     // of each client
+	Tenant     AdmissionLimits `yaml:"tenant"`     // of each tenant
+	All        AdmissionLimits `yaml:"all"`        // of all clients together, shared fairly
 }
 
-// Door limits set-ups. Zero: no limit.
-type Door struct {
+// AdmissionLimits limits set-ups. Zero: no limit.
+type AdmissionLimits struct {
 	Rate  float64 `yaml:"rate"`
 	Burst float64 `yaml:"burst"`
 	Open  int     `yaml:"open"`
 }
 
-func (d Door) limits() admission.Limits {
+func (d AdmissionLimits) limits() admission.Limits {
 	return admission.Limits{Rate: d.Rate, Burst: d.Burst, Open: d.Open}
 }
 
@@ -182,8 +182,8 @@
 	return Config{
 		Network: 2, Log: Log{"info", "json"}, Guard: 200 * time.Millisecond, MaxAttempts: 4,
 		AnswerMargin: 100 * time.Millisecond, CutMemory: 10 * time.Second, Hops: 5, DrainLimit: 30 * time.Second, OverQuotaWorth: 1,
-		Cold:   Cold{15 * time.Second, 0.3, 2, 3 * time.Second},
-		Timers: Timers{15 * time.Second, 5 * time.Minute, 20 * time.Second, 90 * time.Second, 15 * time.Second, 10 * time.Second, 10 * time.Second},
+		ColdStart: ColdStart{15 * time.Second, 0.3, 2, 3 * time.Second},
+		Timers:    Timers{15 * time.Second, 5 * time.Minute, 20 * time.Second, 90 * time.Second, 15 * time.Second, 10 * time.Second, 10 * time.Second},
 		Association: Association{2 * time.Second, 3, 5 * time.Second, 10 * time.Second, 2 * time.Second, 5 * time.Second,
 			100 * time.Millisecond, 5 * time.Second, 1 << 20, 2 * time.Second, 256 << 10},
 		Limits: Limits{Calls: 100_000, Clients: 1000, Events: 4096, Handshakes: 200},
@@ -374,17 +374,17 @@
 	v.Must(c.Hops >= 1 && c.Hops <= 31, "hops", "%d; 1 to 31 can be", c.Hops)
 	v.span("drain_limit", c.DrainLimit, 0, 24*time.Hour)
 	v.Must(c.OverQuotaWorth >= 0 && c.OverQuotaWorth <= 1, "over_quota_worth", "%v; 0 to 1 can be", c.OverQuotaWorth)
-	v.span("cold.warm_up", c.Cold.WarmUp, 0, time.Hour)
-	v.Must(c.Cold.Share > 0 && c.Cold.Share <= 1, "cold.share", "%v; above 0 to 1 can be", c.Cold.Share)
-	v.Must(c.Cold.FallMultiple >= 1, "cold.fall_multiple", "%v; it must be 1 at the least", c.Cold.FallMultiple)
-	v.span("cold.fall_span", c.Cold.FallSpan, 0, time.Minute)
+	v.span("cold.warm_up", c.ColdStart.WarmUp, 0, time.Hour)
+	v.Must(c.ColdStart.Share > 0 && c.ColdStart.Share <= 1, "cold.share", "%v; above 0 to 1 can be", c.ColdStart.Share)
+	v.Must(c.ColdStart.CrashMultiple >= 1, "cold.fall_multiple", "%v; it must be 1 at the least", c.ColdStart.CrashMultiple)
+	v.span("cold.fall_span", c.ColdStart.CrashSpan, 0, time.Minute)
 	v.span("timers.t1", c.Timers.T1, 100*time.Millisecond, time.Minute)
 	v.span("timers.t5", c.Timers.T5, c.Timers.T1, 15*time.Minute)
 	v.span("timers.t7", c.Timers.T7, 100*time.Millisecond, time.Minute)
 	v.span("timers.t9", c.Timers.T9, time.Second, 10*time.Minute)
 	v.span("timers.t16", c.Timers.T16, 100*time.Millisecond, time.Minute)
 	v.span("timers.t28", c.Timers.T28, 100*time.Millisecond, time.Minute)
-	v.span("timers.signalling_hold", c.Timers.Hold, 0, 10*time.Minute)
+	v.span("timers.signalling_hold", c.Timers.SignallingHold, 0, 10*time.Minute)
 	a := c.Association
 	v.span("association.ack", a.Ack, 10*time.Millisecond, time.Minute)
 	v.Must(a.Tries >= 1 && a.Tries <= 100, "association.tries", "%d; 1 to 100 can be", a.Tries)
@@ -401,7 +401,7 @@
 	v.Must(c.Limits.Clients >= 1, "limits.clients", "%d; it must be 1 at the least", c.Limits.Clients)
 	v.Must(c.Limits.Events >= 1 && c.Limits.Events <= 1<<20, "limits.events", "%d; 1 to 2^20 can be", c.Limits.Events)
 	v.Must(c.Limits.Handshakes > 0, "limits.handshakes", "%v; it must be above 0", c.Limits.Handshakes)
-	for key, d := range map[string]Door{"client": c.Limits.Client, "tenant": c.Limits.Tenant, "all": c.Limits.All} {
+	for key, d := range map[string]AdmissionLimits{"client": c.Limits.Client, "tenant": c.Limits.Tenant, "all": c.Limits.All} {
 		v.Must(d.Rate >= 0 && d.Burst >= 0 && d.Open >= 0, "limits."+key, "a negative limit")
 	}
 	v.span("hooks.deadline", c.Hooks.Deadline, time.Millisecond, time.Second)
@@ -449,7 +449,7 @@
 		key, ids := fmt.Sprintf("clients[%d].asp", i), []uint32{x.ASP}
 		if len(x.Associations) > 0 {
 			v.Must(x.ASP == 0, key, "is given beside associations: one of the two names a client")
-			v.Must(Modes[x.Mode] != 0, fmt.Sprintf("clients[%d].mode", i), "%q; override, loadshare or broadcast can be", x.Mode)
+			v.Must(TrafficModes[x.Mode] != 0, fmt.Sprintf("clients[%d].mode", i), "%q; override, loadshare or broadcast can be", x.Mode)
 			v.Must(!names[x.Name] && x.Name != "", fmt.Sprintf("clients[%d].name", i), "%q is missing or given twice", x.Name)
 			names[x.Name] = true
 			key, ids = fmt.Sprintf("clients[%d].associations", i), x.Associations
@@ -499,14 +499,14 @@
 	out := controller.Config{
 		PointCode: c.Exchange, Network: c.Network, AnswerMargin: c.AnswerMargin, CutMemory: c.CutMemory, Hops: byte(c.Hops),
 		MaxCalls: c.Limits.Calls, Recovery: c.Association.Recovery, RecoveryOctets: c.Association.RecoveryQueue, ClientT1: c.Timers.T1, T7: c.Timers.T7, T9: c.Timers.T9,
-		Trunk: trunk.Timers{T1: c.Timers.T1, T5: c.Timers.T5, T16: c.Timers.T16, T28: c.Timers.T28, Hold: c.Timers.Hold},
-		Brain: policy.Config{Seed: c.Seed, Controllers: len(c.Exchanges), OverQuotaWorth: c.OverQuotaWorth, MaxAttempts: c.MaxAttempts,
-			Guard: c.Guard, Repeat: c.Repeat, WarmUp: c.Cold.WarmUp, ColdShare: c.Cold.Share, FallMultiple: c.Cold.FallMultiple,
-			FallSpan: c.Cold.FallSpan,
-			Number:   slices.IndexFunc(c.Exchanges, func(e Exchange) bool { return e.PointCode == c.Exchange })},
+		Trunk: trunk.Timers{T1: c.Timers.T1, T5: c.Timers.T5, T16: c.Timers.T16, T28: c.Timers.T28, SignallingHold: c.Timers.SignallingHold},
+		Policy: policy.Config{Seed: c.Seed, Controllers: len(c.Exchanges), OverQuotaWorth: c.OverQuotaWorth, MaxAttempts: c.MaxAttempts,
+			Guard: c.Guard, Repeat: c.Repeat, WarmUp: c.ColdStart.WarmUp, ColdShare: c.ColdStart.Share, CrashMultiple: c.ColdStart.CrashMultiple,
+			CrashSpan: c.ColdStart.CrashSpan,
+			Index:     slices.IndexFunc(c.Exchanges, func(e Exchange) bool { return e.PointCode == c.Exchange })},
 	}
 	for _, cl := range c.Classes {
-		out.Brain.Classes = append(out.Brain.Classes, policy.Class{Aim: cl.Aim, Worth: cl.Worth, LateWorth: cl.LateWorth, Circuits: 1, Repeatable: true})
+		out.Policy.Classes = append(out.Policy.Classes, policy.Class{Aim: cl.Aim, Worth: cl.Worth, LateWorth: cl.LateWorth, Circuits: 1, Repeatable: true})
 		k := controller.Class{Name: cl.Name, Patience: cl.Patience, Ring: cl.Ring}
 		for _, cat := range cl.Categories {
 			k.Categories = append(k.Categories, isup.Category(cat))
@@ -514,12 +514,12 @@
 		out.Classes = append(out.Classes, k)
 	}
 	for _, t := range c.Tenants {
-		out.Brain.Tenants = append(out.Brain.Tenants, policy.Tenant{Quota: t.Quota})
+		out.Policy.Tenants = append(out.Policy.Tenants, policy.Tenant{Quota: t.Quota})
 		out.Tenants = append(out.Tenants, t.Name)
 	}
 	out.Exchanges = c.ExchangeList()
 	out.HookDeadline = c.Hooks.Deadline
-	out.Admit, out.Tenant = admission.Config{Client: c.Limits.Client.limits(), All: c.Limits.All.limits()}, c.Limits.Tenant.limits()
+	out.Admission, out.TenantAdmission = admission.Config{Client: c.Limits.Client.limits(), All: c.Limits.All.limits()}, c.Limits.Tenant.limits()
 	return out
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,8 +34,8 @@
 		t.Fatal(err)
 	}
 	k := c.Controller()
-	if k.Brain.Guard != 250*time.Millisecond || k.Brain.Classes[1].Worth != 5 || k.Classes[1].Categories[0] != 11 ||
-		k.Exchanges[1].Circuits != 30 || k.Brain.Controllers != 2 || c.Timers.T1 != 15*time.Second || c.Tenant("city") != 0 {
+	if k.Policy.Guard != 250*time.Millisecond || k.Policy.Classes[1].Worth != 5 || k.Classes[1].Categories[0] != 11 ||
+		k.Exchanges[1].Circuits != 30 || k.Policy.Controllers != 2 || c.Timers.T1 != 15*time.Second || c.Tenant("city") != 0 {
 		t.Errorf("%+v", k)
 	}
 }
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// Net is one network. The zero Net is ready for use.
-type Net struct {
+// Network is one network. The zero Network is ready for use.
+type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 	next      int
 }
 
 // Listen opens a listener; port 0 takes a free one.
-func (n *Net) Listen(addr string) (net.Listener, error) {
+func (n *Network) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners == nil {
@@ -45,7 +45,7 @@
 }
 
 // Dial connects to a listener.
-func (n *Net) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (n *Network) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
 	n.mu.Unlock()
@@ -64,7 +64,7 @@
 }
 
 type listener struct {
-	net   *Net
+	net   *Network
 	addr  string
 	conns chan net.Conn
 	done  chan struct{}
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -3,8 +3,8 @@
 
 import "sync"
 
-// Box holds octets on their way to a connection. All methods are safe for concurrent use.
-type Box struct {
+// Queue holds octets on their way to a connection. All methods are safe for concurrent use.
+type Queue struct {
 	wake  chan struct{}
 	limit int
 
@@ -18,10 +18,10 @@
 }
 
 // New makes a box that holds at most limit octets.
-func New(limit int) *Box { return &Box{wake: make(chan struct{}, 1), limit: limit} }
+func New(limit int) *Queue { return &Queue{wake: make(chan struct{}, 1), limit: limit} }
 
 // Put queues octets; false: there is no room, or the box is ending or closed. The writer is told by Nudge.
-func (b *Box) Put(octets []byte) bool {
+func (b *Queue) Put(octets []byte) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed || b.ending || len(b.out)+len(octets) > b.limit {
@@ -31,39 +31,39 @@
 	return true
 }
 
-// Nudge tells the writer to look.
-func (b *Box) Nudge() {
+// Notify tells the writer to look.
+func (b *Queue) Notify() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Wake is where the writer waits for a nudge.
-func (b *Box) Wake() <-chan struct{} { return b.wake }
+// Ready is where the writer waits for a nudge.
+func (b *Queue) Ready() <-chan struct{} { return b.wake }
 
 // Close ends the box at once; the first reason stays.
-func (b *Box) Close(why string) {
+func (b *Queue) Close(why string) {
 	b.mu.Lock()
 	if b.closed = true; b.why == "" {
 		b.why = why
 	}
 	b.mu.Unlock()
-	b.Nudge()
+	b.Notify()
 }
 
 // Finish ends the box when what is queued has been written.
-func (b *Box) Finish(why string) {
+func (b *Queue) Finish(why string) {
 	b.mu.Lock()
 	if b.ending = true; b.why == "" {
 		b.why = why
 	}
 	b.mu.Unlock()
-	b.Nudge()
+	b.Notify()
 }
 
 // Reason is why the box was closed or finished.
-func (b *Box) Reason() string {
+func (b *Queue) Reason() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.why
@@ -73,7 +73,7 @@
 const bigBuffer = 1 << 16
 
 // Take appends what is queued to buf and takes it from the box. ending: it is the last; closed: it is not to be written.
-func (b *Box) Take(buf []byte) (out []byte, ending, closed bool) {
+func (b *Queue) Take(buf []byte) (out []byte, ending, closed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
@@ -88,35 +88,35 @@
 }
 
 // Written tells that what the writer took has been written.
-func (b *Box) Written() {
+func (b *Queue) Written() {
 	b.mu.Lock()
 	b.taken = false
 	b.mu.Unlock()
 }
 
 // Idle tells whether all that was queued has been written.
-func (b *Box) Idle() bool {
+func (b *Queue) Idle() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.taken && len(b.out) == 0
 }
 
 // Queued is the number of octets queued.
-func (b *Box) Queued() int {
+func (b *Queue) Queued() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.out)
 }
 
-// Return gives back what the writer took and could not write.
-func (b *Box) Return(left []byte) {
+// PutBack gives back what the writer took and could not write.
+func (b *Queue) PutBack(left []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.left = append(b.left, left...)
 }
 
 // Unsent takes out what has not been written: what the writer gave back, then what is queued.
-func (b *Box) Unsent() []byte {
+func (b *Queue) Unsent() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := append(b.left, b.out...)
--- a/internal/streambuf/streambuf.go
+++ b/internal/streambuf/streambuf.go
@@ -26,8 +26,8 @@
 // Bytes are the octets there, valid until the next Fill or Take.
 func (b *Buffer) Bytes() []byte { return b.buf }
 
-// Take takes the first n octets off.
-func (b *Buffer) Take(n int) { b.buf = b.buf[:copy(b.buf, b.buf[n:])] }
+// Discard takes the first n octets off.
+func (b *Buffer) Discard(n int) { b.buf = b.buf[:copy(b.buf, b.buf[n:])] }
 
 // Fill reads more. With part of a message there the end of the stream is io.ErrUnexpectedEOF.
 func (b *Buffer) Fill() error {
--- a/internal/taskgroup/taskgroup.go
+++ b/internal/taskgroup/taskgroup.go
@@ -23,7 +23,7 @@
 	g.wg.Add(1)
 	go func() {
 		defer g.wg.Done()
-		defer func() { g.Caught("goroutine", recover()) }()
+		defer func() { g.Recovered("goroutine", recover()) }()
 		f()
 	}()
 }
@@ -31,8 +31,8 @@
 // Wait waits until all have ended.
 func (g *Group) Wait() { g.wg.Wait() }
 
-// Caught tells Panic of a recovered value; false: there was no panic.
-func (g *Group) Caught(where string, r any) bool {
+// Recovered tells Panic of a recovered value; false: there was no panic.
+func (g *Group) Recovered(where string, r any) bool {
 	if r == nil {
 		return false
 	}
@@ -40,9 +40,9 @@
 	return true
 }
 
-// Guard runs f; false: it has panicked.
-func (g *Group) Guard(where string, f func()) (whole bool) {
-	defer func() { whole = !g.Caught(where, recover()) }()
+// RunRecovered runs f; false: it has panicked.
+func (g *Group) RunRecovered(where string, f func()) (whole bool) {
+	defer func() { whole = !g.Recovered(where, recover()) }()
 	f()
 	return true
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -191,10 +191,10 @@
 	"pending":   func(r *policy.Report, f float64) { r.Queue = f },
 	"can_take":  func(r *policy.Report, f float64) { r.Rate = f },
 	"svc_ms":    func(r *policy.Report, f float64) { r.Wait = f / 1000 },
-	"hold_back": func(r *policy.Report, f float64) { r.HoldBack = f },
+	"hold_back": func(r *policy.Report, f float64) { r.Reduction = f },
 }
 
-var unknownReport = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, HoldBack: -1}
+var unknownReport = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}
 
 // report reads a load report, or nil where there is none.
 func (in *instance) report(a *args, i int) *policy.Report {
@@ -228,5 +228,5 @@
 	if err != nil {
 		a.fail("%w", err)
 	}
-	return s.Brain, s.fields
+	return s.Policy, s.fields
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -14,17 +14,17 @@
 // Settings are what an instance is told at its start, on the simulator's wire and on the platform alike: the module's part,
 // and what those who carry its decisions out keep to.
 type Settings struct {
-	Brain   policy.Config // without Seed
+	Policy  policy.Config // without Seed
 	Classes []string      // names, in the order of Brain.Classes
 	Zones   []string
 
-	Longest        time.Duration // longest time for which callers of a class wait
+	MaxPatience    time.Duration // longest time for which callers of a class wait
 	ConnectTimeout time.Duration // a connection that is not up by then has failed
 	Keepalive      time.Duration // idle connections are closed after this; 0: not told
 	Probes         bool          // switches may be tested
 	RetryAfter     bool          // callers may be told how long to stay away ...
 	MaxRetryAfter  time.Duration // ... up to so long
-	OpenCap        int           // open calls at most; 0: not told
+	MaxOpenCalls   int           // open calls at most; 0: not told
 
 	fields []field // meaning of the load report's values
 }
@@ -52,22 +52,22 @@
 		Probes:         v.GetBool("limits", "probes"),
 		RetryAfter:     v.GetBool("limits", "retry_after"),
 		MaxRetryAfter:  millis(num(v, 0, "limits", "max_retry_after")),
-		OpenCap:        int(num(v, 0, "limits", "open_cap")),
-		Brain: policy.Config{
-			Self:           int(num(v, -1, "family_info", "self_no")),
-			Controllers:    int(num(v, 1, "replicas_of_me")),
-			Number:         int(num(v, 0, "position")),
-			Pools:          string(v.GetStringBytes("family_info", "shape")) == "pools",
-			AskForList:     string(v.GetStringBytes("discovery")) == "ask",
-			OverQuotaWorth: num(v, 1, "over_share_worth"),
-			MaxAttempts:    int(num(v, 1, "limits", "max_attempts")),
-			Guard:          millis(num(v, 0, "family_info", "guard")),
-			Repeat:         millis(num(v, 0, "family_info", "repeat")),
-			MarksRedials:   v.GetBool("callers", "marks_retry"),
-			WarmUp:         millis(num(v, 0, "obligations", "warm_up")),
-			ColdShare:      num(v, 1, "obligations", "cold_share"),
-			FallMultiple:   num(v, 1, "obligations", "fall_multiple"),
-			FallSpan:       millis(num(v, 0, "obligations", "overload_for")),
+		MaxOpenCalls:   int(num(v, 0, "limits", "open_cap")),
+		Policy: policy.Config{
+			Self:            int(num(v, -1, "family_info", "self_no")),
+			Controllers:     int(num(v, 1, "replicas_of_me")),
+			Index:           int(num(v, 0, "position")),
+			Pools:           string(v.GetStringBytes("family_info", "shape")) == "pools",
+			SubscribeToList: string(v.GetStringBytes("discovery")) == "ask",
+			OverQuotaWorth:  num(v, 1, "over_share_worth"),
+			MaxAttempts:     int(num(v, 1, "limits", "max_attempts")),
+			Guard:           millis(num(v, 0, "family_info", "guard")),
+			Repeat:          millis(num(v, 0, "family_info", "repeat")),
+			MarksRedials:    v.GetBool("callers", "marks_retry"),
+			WarmUp:          millis(num(v, 0, "obligations", "warm_up")),
+			ColdShare:       num(v, 1, "obligations", "cold_share"),
+			CrashMultiple:   num(v, 1, "obligations", "fall_multiple"),
+			CrashSpan:       millis(num(v, 0, "obligations", "overload_for")),
 		},
 	}
 	for n, c := range v.GetArray("request_classes") {
@@ -79,12 +79,12 @@
 		for _, p := range v.GetArray("family_info", "pools_by_class", fmt.Sprint(n)) {
 			class.Pools = append(class.Pools, p.GetInt())
 		}
-		s.Brain.Classes = append(s.Brain.Classes, class)
+		s.Policy.Classes = append(s.Policy.Classes, class)
 		s.Classes = append(s.Classes, string(c.GetStringBytes("name")))
-		s.Longest = max(s.Longest, millis(num(c, 0, "give_up")))
+		s.MaxPatience = max(s.MaxPatience, millis(num(c, 0, "give_up")))
 	}
 	for _, t := range v.GetArray("accounts") {
-		s.Brain.Tenants = append(s.Brain.Tenants, policy.Tenant{Quota: num(t, 0, "quota_per_s")})
+		s.Policy.Tenants = append(s.Policy.Tenants, policy.Tenant{Quota: num(t, 0, "quota_per_s")})
 	}
 	for _, z := range v.GetArray("zones") {
 		s.Zones = append(s.Zones, string(z.GetStringBytes()))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -18,7 +18,7 @@
 
 // instance is one hosted controller.
 type instance struct {
-	ctl    *policy.Controller
+	ctl    *policy.Engine
 	fields []field // meaning of the load report's values
 }
 
@@ -141,7 +141,7 @@
 		ev = in.returned(a)
 	case "Dropped":
 		a.arity(2)
-		ev = policy.Released{Call: a.call(1)}
+		ev = policy.CallerReleased{Call: a.call(1)}
 	case "Wake":
 		a.arity(2)
 		ev = policy.Timer{ID: a.unsigned(1)}
@@ -198,7 +198,7 @@
 	if !ok {
 		a.fail("list %d was never sent", page)
 	}
-	return policy.List{Whole: form != "D", Entries: entries}
+	return policy.List{Full: form != "D", Entries: entries}
 }
 
 // The bits of a Demand's options.
@@ -212,7 +212,7 @@
 	a.arity(11)
 	options := a.integer(10)
 	ev := policy.Offered{
-		Call: a.call(1), Circuits: a.number(3, 0), Due: a.ms(4), Advised: int(a.number(5, -1)),
+		Call: a.call(1), Circuits: a.number(3, 0), Due: a.ms(4), AdvisedTandem: int(a.number(5, -1)),
 		Tenant: int(a.number(6, 0)), Number: a.optText(7), Destination: int(a.integer(8)), Class: int(a.integer(9)),
 		Transit: options&optTransit != 0, Redial: options&optRedial != 0, CutBefore: options&optCutBefore != 0,
 	}
@@ -249,17 +249,17 @@
 	if !ok {
 		a.fail("unknown completion code %d", code)
 	}
-	ev := policy.Returned{
+	ev := policy.AttemptEnded{
 		Call: a.call(1), Final: a.boolean(2), Delay: a.ms(3), Attempt: int(a.integer(4)), Cause: cause,
 		Exchange: a.text(7), Report: in.report(a, 8),
 	}
 	switch {
 	case why == 18:
-		ev.Reason = policy.TurnedBackFull
+		ev.Reason = policy.CrankbackFull
 	case why&15 == 1:
 		ev.Reason = policy.NoCircuit
 	case why&15 == 2:
-		ev.Reason = policy.TurnedBack
+		ev.Reason = policy.Crankback
 	case why&15 == 3:
 		ev.Reason, ev.Wait = policy.ProcessorFull, time.Duration(why>>4)*time.Millisecond
 	case why&15 == 4:
--- a/isup/compat.go
+++ b/isup/compat.go
@@ -1,13 +1,13 @@
 package isup
 
-// Verdict is what is done about a message with unknown parts (Q.764, 2.9.5).
-type Verdict uint8
+// CompatAction is what is done about a message with unknown parts (Q.764, 2.9.5).
+type CompatAction uint8
 
 // The verdicts.
 const (
-	Accept  Verdict = iota
-	Discard         // the message is dropped
-	Release         // the call is released, cause 99
+	Accept      CompatAction = iota
+	Discard                  // the message is dropped
+	ReleaseCall              // the call is released, cause 99
 )
 
 // Bits of an instruction indicator (Q.763, 3.40 and 3.41).
@@ -19,11 +19,11 @@
 	insParameter = 0x10 // the parameter
 )
 
-// Unknown acts on the optional parameters that this package does not interpret as their compatibility information says:
+// CheckUnknown acts on the optional parameters that this package does not interpret as their compatibility information says:
 // some are dropped from m, or the whole message or call must be. A parameter without instructions is passed on as it
 // is, so that what the two ends agree on crosses this exchange (Q.764, 2.9.5.3.2). transit: the message is on its way
 // through, where an instruction for end exchanges only does not count.
-func Unknown(m *Message, transit bool) Verdict {
+func CheckUnknown(m *Message, transit bool) CompatAction {
 	if len(m.Compat) == 0 || len(m.Optional) == 0 {
 		return Accept
 	}
@@ -36,7 +36,7 @@
 		}
 		switch {
 		case ins&insRelease != 0:
-			verdict = Release
+			verdict = ReleaseCall
 		case ins&insDiscard != 0:
 			verdict = max(verdict, Discard)
 		}
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -124,20 +124,20 @@
 		name    string
 		compat  []byte
 		transit bool
-		want    Verdict
+		want    CompatAction
 		kept    int
 	}{
 		{"no instructions", nil, false, Accept, 2},
 		{"others' instructions", []byte{0x70, 0x90}, false, Accept, 2},
 		{"drop the parameter", []byte{0x71, 0x90}, false, Accept, 1},
 		{"drop the message", []byte{0x71, 0x88}, false, Discard, 2},
-		{"release", []byte{0x71, 0x82}, false, Release, 2},
+		{"release", []byte{0x71, 0x82}, false, ReleaseCall, 2},
 		{"release, but for end exchanges", []byte{0x71, 0x83}, true, Accept, 2},
 		{"two octets of instructions, then ours", []byte{0x70, 0x00, 0x80, 0x71, 0x90}, false, Accept, 1},
 		{"cut off", []byte{0x71}, false, Accept, 2},
 	} {
 		m := Message{Type: IAM, Compat: c.compat, Optional: []Optional{{0x71, nil}, {0x72, []byte{1}}}}
-		if got := Unknown(&m, c.transit); got != c.want || len(m.Optional) != c.kept {
+		if got := CheckUnknown(&m, c.transit); got != c.want || len(m.Optional) != c.kept {
 			t.Errorf("%s: verdict %v with %d parameters kept, want %v with %d", c.name, got, len(m.Optional), c.want, c.kept)
 		}
 	}
@@ -182,7 +182,7 @@
 		if err := Decode(b, &m); err != nil {
 			return
 		}
-		Unknown(&m, false)
+		CheckUnknown(&m, false)
 		once := Append(nil, &m)
 		if err := Decode(once, &again); err != nil {
 			t.Fatalf("what was written cannot be read: %v\n%x\n%x", err, b, once)
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -112,7 +112,7 @@
 	for _, stall := range []time.Duration{0, 2 * time.Second} {
 		rep := offer(t, stall, emulator.Ringing{})
 		k := rep.Totals
-		if k.Offered < 1200 || k.Tries != k.Offered || k.Stood+k.Refused+k.GivenUp != k.Offered || k.Causes["1"] < 250 || k.Finished+k.Cut != k.Stood {
+		if k.Offered < 1200 || k.Tries != k.Offered || k.Answered+k.Refused+k.Abandoned != k.Offered || k.Causes["1"] < 250 || k.Finished+k.Cut != k.Answered {
 			t.Errorf("%+v", k)
 		}
 		if stall == 0 && rep.SetUpUS.P99 > 50_000 {
@@ -132,7 +132,7 @@
 func TestLoadOfRingingNumbers(t *testing.T) {
 	rep := offer(t, 0, emulator.Ringing{Median: 4 * time.Second, NoAnswer: 0.1})
 	k := rep.Totals
-	if k.Stood+k.Refused+k.GivenUp+k.RangOut != k.Offered || k.RangOut+k.Causes["19"] < 60 || k.Rang < k.Stood+k.RangOut {
+	if k.Answered+k.Refused+k.Abandoned+k.AbandonedRinging != k.Offered || k.AbandonedRinging+k.Causes["19"] < 60 || k.Alerted < k.Answered+k.AbandonedRinging {
 		t.Errorf("%+v", k)
 	}
 	if rep.SetUpUS.P99 > 50_000 || rep.AnswerUS.P50 < 4_000_000 || rep.AnswerUS.Max > 4_100_000 {
@@ -140,18 +140,18 @@
 	}
 	offered, stood := 0, 0
 	for _, s := range rep.Seconds {
-		offered, stood = offered+int(s.Offered), stood+int(s.Stood)
+		offered, stood = offered+int(s.Offered), stood+int(s.Answered)
 	}
-	if offered != int(k.Offered) || stood != int(k.Stood) {
-		t.Errorf("by second %d and %d, of %d and %d", offered, stood, k.Offered, k.Stood)
+	if offered != int(k.Offered) || stood != int(k.Answered) {
+		t.Errorf("by second %d and %d, of %d and %d", offered, stood, k.Offered, k.Answered)
 	}
 }
 
 // offer runs the load against a controller and two switches in exact time.
 func offer(t *testing.T, stall time.Duration, ringing emulator.Ringing) (rep Report) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &memnet.Net{}
-		w := &emulator.Net{Dial: n.Dial, Listen: n.Listen, Log: record.New()}
+		n := &memnet.Network{}
+		w := &emulator.Network{Dial: n.Dial, Listen: n.Listen, Log: record.New()}
 		c := config.Default()
 		c.Exchange, c.Listen = 1, "127.0.0.1:0"
 		c.Classes = []config.Class{{Name: "a", Aim: 1500 * time.Millisecond, Patience: 3 * time.Second, Worth: 1}}
--- a/load/parts.go
+++ b/load/parts.go
@@ -46,22 +46,22 @@
 			return Report{}, fmt.Errorf("load: part %d has no histograms", i)
 		}
 		out.Span = max(out.Span, p.Span)
-		out.Reached += p.Reached
+		out.OfferedPerSecond += p.OfferedPerSecond
 		t, o := &p.Totals, &out.Totals
-		for _, x := range []struct{ to, from *uint64 }{{&o.Offered, &t.Offered}, {&o.Tries, &t.Tries}, {&o.Rang, &t.Rang}, {&o.Stood, &t.Stood},
-			{&o.Refused, &t.Refused}, {&o.GivenUp, &t.GivenUp}, {&o.RangOut, &t.RangOut}, {&o.Cut, &t.Cut}, {&o.Finished, &t.Finished},
-			{&o.NotConnected, &t.NotConnected}, {&o.NoCircuit, &t.NoCircuit}, {&o.CongestionTold, &t.CongestionTold}} {
+		for _, x := range []struct{ to, from *uint64 }{{&o.Offered, &t.Offered}, {&o.Tries, &t.Tries}, {&o.Alerted, &t.Alerted}, {&o.Answered, &t.Answered},
+			{&o.Refused, &t.Refused}, {&o.Abandoned, &t.Abandoned}, {&o.AbandonedRinging, &t.AbandonedRinging}, {&o.Cut, &t.Cut}, {&o.Finished, &t.Finished},
+			{&o.NotConnected, &t.NotConnected}, {&o.NoCircuit, &t.NoCircuit}, {&o.CongestionReports, &t.CongestionReports}} {
 			*x.to += *x.from
 		}
 		for cause := range maps.Keys(t.Causes) {
 			o.Causes[cause] += t.Causes[cause]
 		}
 		for len(out.Seconds) < len(p.Seconds) {
-			out.Seconds = append(out.Seconds, Second{})
+			out.Seconds = append(out.Seconds, SecondTotals{})
 		}
 		for j, s := range p.Seconds {
 			out.Seconds[j].Offered += s.Offered
-			out.Seconds[j].Stood += s.Stood
+			out.Seconds[j].Answered += s.Answered
 		}
 		for j, s := range []*hdrhistogram.Snapshot{p.Histograms.SetUp, p.Histograms.Answer, p.Histograms.Late} {
 			if s == nil {
--- a/load/parts_test.go
+++ b/load/parts_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Totals.Stood != parts[0].Totals.Stood+parts[1].Totals.Stood || m.Totals.Causes["1"] != parts[0].Totals.Causes["1"]+parts[1].Totals.Causes["1"] {
+	if m.Totals.Answered != parts[0].Totals.Answered+parts[1].Totals.Answered || m.Totals.Causes["1"] != parts[0].Totals.Causes["1"]+parts[1].Totals.Causes["1"] {
 		t.Errorf("%+v", m.Totals)
 	}
 	if m.AnswerUS.Max != parts[1].AnswerUS.Max || m.AnswerUS.P50 > 1_500_000 || m.AnswerUS.P90 < 2_900_000 {
--- a/load/run.go
+++ b/load/run.go
@@ -18,39 +18,39 @@
 
 // Totals are what became of calls.
 type Totals struct {
-	Offered      uint64            `json:"offered"` // first tries
-	Tries        uint64            `json:"tries"`
-	Rang         uint64            `json:"rang"`
-	Stood        uint64            `json:"stood"`
-	Refused      uint64            `json:"refused"`
-	GivenUp      uint64            `json:"given_up"`
-	RangOut      uint64            `json:"rang_out"` // callers who left while it rang
-	Cut          uint64            `json:"cut"`
-	Finished     uint64            `json:"finished"`
-	NotConnected uint64            `json:"not_connected"`
-	NoCircuit    uint64            `json:"no_circuit"` // the client's own 4095 were all in use
-	Causes       map[string]uint64 `json:"causes,omitempty"`
-	// CongestionTold counts SCON messages.
-	CongestionTold uint64 `json:"congestion_told"`
+	Offered          uint64            `json:"offered"` // first tries
+	Tries            uint64            `json:"tries"`
+	Alerted          uint64            `json:"rang"`
+	Answered         uint64            `json:"stood"`
+	Refused          uint64            `json:"refused"`
+	Abandoned        uint64            `json:"given_up"`
+	AbandonedRinging uint64            `json:"rang_out"` // callers who left while it rang
+	Cut              uint64            `json:"cut"`
+	Finished         uint64            `json:"finished"`
+	NotConnected     uint64            `json:"not_connected"`
+	NoCircuit        uint64            `json:"no_circuit"` // the client's own 4095 were all in use
+	Causes           map[string]uint64 `json:"causes,omitempty"`
+	// CongestionReports counts SCON messages.
+	CongestionReports uint64 `json:"congestion_told"`
 }
 
 // Report is the outcome of a load.
 type Report struct {
-	Span     time.Duration `json:"span"`
-	Totals   Totals        `json:"totals"`
-	SetUpUS  Quantiles     `json:"set_up_us"` // from when the call was due to ACM, or to its answer where no ACM came
-	AnswerUS Quantiles     `json:"answer_us"` // ... to its answer, ringing included
-	LateUS   Quantiles     `json:"late_us"`   // from when it was due to when it was sent: this program's own lateness
-	Reached  float64       `json:"offered_per_second"`
-	Seconds  []Second      `json:"seconds"` // by when a call was first due
+	Span             time.Duration  `json:"span"`
+	Totals           Totals         `json:"totals"`
+	SetUpUS          Quantiles      `json:"set_up_us"` // from when the call was due to ACM, or to its answer where no ACM came
+	AnswerUS         Quantiles      `json:"answer_us"` // ... to its answer, ringing included
+	LateUS           Quantiles      `json:"late_us"`   // from when it was due to when it was sent: this program's own lateness
+	OfferedPerSecond float64        `json:"offered_per_second"`
+	Seconds          []SecondTotals `json:"seconds"` // by when a call was first due
 	// Histograms are what the quantiles are of, for Merge.
 	Histograms *Histograms `json:"histograms,omitempty"`
 }
 
-// Second is what became of the calls that were first due in one second.
-type Second struct {
-	Offered uint32 `json:"offered"`
-	Stood   uint32 `json:"stood"`
+// SecondTotals is what became of the calls that were first due in one second.
+type SecondTotals struct {
+	Offered  uint32 `json:"offered"`
+	Answered uint32 `json:"stood"`
 }
 
 // Quantiles of a histogram, in microseconds.
@@ -84,7 +84,7 @@
 	answer  *hdrhistogram.Histogram
 	late    *hdrhistogram.Histogram
 	t       Totals
-	seconds []Second
+	seconds []SecondTotals
 	refs    uint32
 	open    int
 	over    bool // nothing is dialled any more
@@ -172,7 +172,7 @@
 	r.start = time.Now()
 	r.wheel = timer.New[func()](0, time.Millisecond)
 	r.loop(ctx)
-	rep := Report{Span: time.Since(r.start), Totals: r.t, SetUpUS: quantiles(r.setUp), AnswerUS: quantiles(r.answer), LateUS: quantiles(r.late), Reached: float64(r.t.Offered) / c.Span.Seconds(), Seconds: r.seconds,
+	rep := Report{Span: time.Since(r.start), Totals: r.t, SetUpUS: quantiles(r.setUp), AnswerUS: quantiles(r.answer), LateUS: quantiles(r.late), OfferedPerSecond: float64(r.t.Offered) / c.Span.Seconds(), Seconds: r.seconds,
 		Histograms: &Histograms{r.setUp.Export(), r.answer.Export(), r.late.Export()}}
 	return rep, ctx.Err()
 }
@@ -195,7 +195,7 @@
 		for more && next.At <= now {
 			r.t.Offered++
 			for len(r.seconds) <= int(next.At/time.Second) {
-				r.seconds = append(r.seconds, Second{})
+				r.seconds = append(r.seconds, SecondTotals{})
 			}
 			r.seconds[next.At/time.Second].Offered++
 			r.clients[next.Client].try(&call{Arrival: next, due: next.At, first: next.At, redials: r.c.Redials})
@@ -211,7 +211,7 @@
 		r.over = now > r.c.Span
 		if now >= shown && r.o.Progress != nil {
 			shown += time.Second
-			fmt.Fprintf(r.o.Progress, "%4.0f s: offered %d, rang %d, stood %d, refused %d, given up %d, open %d\n", now.Seconds(), r.t.Offered, r.t.Rang, r.t.Stood, r.t.Refused, r.t.GivenUp, r.open)
+			fmt.Fprintf(r.o.Progress, "%4.0f s: offered %d, rang %d, stood %d, refused %d, given up %d, open %d\n", now.Seconds(), r.t.Offered, r.t.Alerted, r.t.Answered, r.t.Refused, r.t.Abandoned, r.open)
 		}
 		wake := 100 * time.Millisecond
 		if more {
@@ -311,7 +311,7 @@
 		case m3ua.BEAT:
 			reply = &m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: m.Heartbeat}
 		case m3ua.SCON:
-			x.post(ctx, func() { x.r.t.CongestionTold++ })
+			x.post(ctx, func() { x.r.t.CongestionReports++ })
 		case m3ua.DATA:
 			var u isup.Message
 			if isup.Decode(m.Data.User, &u) != nil {
@@ -398,7 +398,7 @@
 	x.send(&isup.Message{Type: isup.IAM, CIC: k.cic, Category: isup.Category(cl.Category), Medium: 3, Called: called, HasCalling: true, Calling: calling,
 		HasRef: true, Ref: isup.CallReference{ID: r.refs & 0xffffff, PC: uint16(x.pc)}})
 	k.timer = r.wheel.Set(k.due+cl.Patience, func() {
-		r.t.GivenUp++
+		r.t.Abandoned++
 		x.leave(k)
 		x.again(k)
 	})
@@ -440,20 +440,20 @@
 		if k == nil || k.state != waiting {
 			return
 		}
-		r.t.Rang++
+		r.t.Alerted++
 		r.setUp.RecordValue(max(1, (r.now() - k.due).Microseconds()))
 		r.wheel.Stop(k.timer)
 		k.state = ringing
 		k.timer = r.wheel.Set(r.now()+r.c.Classes[k.Class].Ring, func() {
-			r.t.RangOut++
+			r.t.AbandonedRinging++
 			x.leave(k)
 		})
 	case isup.ANM, isup.CON:
 		if k == nil || k.state != waiting && k.state != ringing {
 			return
 		}
-		r.t.Stood++
-		r.seconds[k.first/time.Second].Stood++
+		r.t.Answered++
+		r.seconds[k.first/time.Second].Answered++
 		if k.state == waiting {
 			r.setUp.RecordValue(max(1, (r.now() - k.due).Microseconds()))
 		}
--- a/m3ua/asp.go
+++ b/m3ua/asp.go
@@ -48,11 +48,11 @@
 
 // The outcomes.
 const (
-	Nothing   Outcome = iota
-	Deliver           // a message for the user: DATA, SSNM or NTFY
-	Activated         // traffic may flow from now on
-	Deactived         // traffic stops; the connection stays
-	Broken            // the association is of no use any more: close the connection
+	Nothing     Outcome = iota
+	Deliver             // a message for the user: DATA, SSNM or NTFY
+	Activated           // traffic may flow from now on
+	Deactivated         // traffic stops; the connection stays
+	Broken              // the association is of no use any more: close the connection
 )
 
 // ASP is the end of an association that asks for traffic: it sends ASPUP and ASPAC (RFC 4666, 4.3.4). SGP, the other
@@ -188,7 +188,7 @@
 	case m.Kind == ASPIAAck && a.state == Active: // unasked: traffic is taken away
 		a.state = Inactive
 		a.want, a.tries, a.due = ASPACAck, 0, now+a.t.Ack
-		return Deactived
+		return Deactivated
 	}
 	return Nothing
 }
@@ -205,7 +205,7 @@
 		a.send(&Message{Kind: ASPUPAck})
 		if was == Active { // an ASPUP in state active: it has started anew (RFC 4666, 4.3.4.1)
 			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpected})
-			return Deactived
+			return Deactivated
 		}
 		a.send(&Message{Kind: NTFY, StatusType: StatusASState, StatusInfo: InfoASInactive})
 	case ASPAC:
@@ -227,7 +227,7 @@
 		a.send(&Message{Kind: ASPIAAck})
 		if a.state == Active {
 			a.state = Inactive
-			return Deactived
+			return Deactivated
 		}
 	case ASPDN:
 		a.send(&Message{Kind: ASPDNAck})
--- a/m3ua/m3ua_test.go
+++ b/m3ua/m3ua_test.go
@@ -276,7 +276,7 @@
 	if g.Handle(0, &Message{Kind: ASPAC}) != Activated {
 		t.Fatal("not activated")
 	}
-	if g.Handle(0, &Message{Kind: ASPUP}) != Deactived || g.State() != Inactive {
+	if g.Handle(0, &Message{Kind: ASPUP}) != Deactivated || g.State() != Inactive {
 		t.Error("an ASPUP in state active is overlooked")
 	}
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -4,12 +4,12 @@
 
 // Config is what a controller is told once, when it starts.
 type Config struct {
-	Seed        uint64 // seeds the order in which tandems are tried
-	Self        int    // point code of the own exchange, -1 where the far ends are pools
-	Controllers int    // number of call controllers, this one included
-	Number      int    // own number among them, from 0
-	Pools       bool   // the far ends are pools of agents shared by all, not exchanges of a mesh
-	AskForList  bool   // changes of the list of exchanges come only after Subscribe
+	Seed            uint64 // seeds the order in which tandems are tried
+	Self            int    // point code of the own exchange, -1 where the far ends are pools
+	Controllers     int    // number of call controllers, this one included
+	Index           int    // own number among them, from 0
+	Pools           bool   // the far ends are pools of agents shared by all, not exchanges of a mesh
+	SubscribeToList bool   // changes of the list of exchanges come only after Subscribe
 
 	Classes []Class
 	Tenants []Tenant
@@ -22,10 +22,10 @@
 	Guard       time.Duration // release wait after a time-out, reset or cancel
 	Repeat      time.Duration // a set-up that waits at a processor is sent again after this; 0: never
 
-	WarmUp       time.Duration // an exchange is warm so long after its start
-	ColdShare    float64       // share of its capacity that a fresh exchange has at the least
-	FallMultiple float64       // a cold exchange falls over when sent this multiple of its capacity ...
-	FallSpan     time.Duration // ... for so long
+	WarmUp        time.Duration // an exchange is warm so long after its start
+	ColdShare     float64       // share of its capacity that a fresh exchange has at the least
+	CrashMultiple float64       // a cold exchange falls over when sent this multiple of its capacity ...
+	CrashSpan     time.Duration // ... for so long
 }
 
 // Class is one class of calls.
@@ -68,7 +68,7 @@
 	Queue       float64 // set-ups waiting there
 	Rate        float64 // new set-ups a second that it can take from all senders
 	Wait        float64 // wait at its processor, in seconds
-	HoldBack    float64 // share of new set-ups that it asks each sender to keep back
+	Reduction   float64 // share of new set-ups that it asks each sender to keep back
 }
 
 // Cause tells how an attempt ended.
@@ -91,13 +91,13 @@
 
 // The reasons.
 const (
-	NoReason       Reason = iota
-	NoCircuit             // no circuit or agent free
-	TurnedBack            // returned by the tandem
-	TurnedBackFull        // returned by the tandem: the processor beyond it was full
-	ProcessorFull         // the processor was full (with NotSent: the own one is down)
-	NumberBusy            // all lines of the number are busy
-	NoAnswer              // it rang and nobody answered: no state of any exchange
+	NoReason      Reason = iota
+	NoCircuit            // no circuit or agent free
+	Crankback            // returned by the tandem
+	CrankbackFull        // returned by the tandem: the processor beyond it was full
+	ProcessorFull        // the processor was full (with NotSent: the own one is down)
+	NumberBusy           // all lines of the number are busy
+	NoAnswer             // it rang and nobody answered: no state of any exchange
 )
 
 // Event is something that the controller is told: one of the types below.
@@ -106,23 +106,23 @@
 type (
 	// List brings the list of exchanges: whole, its changes, or word that it could not be had.
 	List struct {
-		Whole, Failed bool
-		Entries       []Entry
+		Full, Failed bool
+		Entries      []Entry
 	}
 	// Offered hands a call to the controller, which owes it one final answer before Due.
 	Offered struct {
-		Call        uint64
-		Class       int
-		Tenant      int
-		Number      string // the dialled number
-		Destination int    // point code of the destination exchange (pools: first choice)
-		Advised     int    // tandem with most room as a centre saw it, or -1; in transit: where it comes from
-		Circuits    float64
-		Due         time.Duration
-		Transit     bool  // sent here by another exchange: on to its destination or back
-		CutBefore   bool  // it stood, was cut and comes again
-		Redial      bool  // dialled again, where callers mark it
-		Exclude     []int // point codes that this call is kept away from
+		Call          uint64
+		Class         int
+		Tenant        int
+		Number        string // the dialled number
+		Destination   int    // point code of the destination exchange (pools: first choice)
+		AdvisedTandem int    // tandem with most room as a centre saw it, or -1; in transit: where it comes from
+		Circuits      float64
+		Due           time.Duration
+		Transit       bool  // sent here by another exchange: on to its destination or back
+		CutBefore     bool  // it stood, was cut and comes again
+		Redial        bool  // dialled again, where callers mark it
+		Excluded      []int // point codes that this call is kept away from
 	}
 	// Alerting tells that the processor's part of an attempt is over and the number rings (address complete,
 	// Q.764, 2.1.4). The attempt is still out. Where no such word comes, Established ends both parts.
@@ -139,8 +139,8 @@
 		Exchange string
 		Delay    time.Duration
 	}
-	// Returned tells how an attempt ended. Final: nothing is owed to the call any more.
-	Returned struct {
+	// AttemptEnded tells how an attempt ended. Final: nothing is owed to the call any more.
+	AttemptEnded struct {
 		Call     uint64
 		Attempt  int
 		Exchange string
@@ -151,8 +151,8 @@
 		Wait     time.Duration // wait that a full processor asks for
 		Report   *Report
 	}
-	// Released tells that the caller has left.
-	Released struct{ Call uint64 }
+	// CallerReleased tells that the caller has left.
+	CallerReleased struct{ Call uint64 }
 	// Status is an answer to Probe, or unasked word that a trunk group or a load has changed. Of the own exchange, by
 	// its address in the list, it tells the own lateness in Wait.
 	Status struct {
@@ -166,14 +166,14 @@
 	Timer struct{ ID uint64 }
 )
 
-func (List) event()        {}
-func (Offered) event()     {}
-func (Alerting) event()    {}
-func (Established) event() {}
-func (Returned) event()    {}
-func (Released) event()    {}
-func (Status) event()      {}
-func (Timer) event()       {}
+func (List) event()           {}
+func (Offered) event()        {}
+func (Alerting) event()       {}
+func (Established) event()    {}
+func (AttemptEnded) event()   {}
+func (CallerReleased) event() {}
+func (Status) event()         {}
+func (Timer) event()          {}
 
 // Action is something that the controller wants done: one of the types below.
 type Action interface{ action() }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -15,7 +15,7 @@
 type coldFleet struct {
 	cfg   Config
 	rates []float64 // usual set-ups a second of each controller to the switch
-	c     []*Controller
+	c     []*Engine
 	now   time.Duration
 	rnd   *rand.Rand
 	next  uint64
@@ -29,19 +29,19 @@
 
 type coldEvent struct {
 	at time.Duration
-	to *Controller
+	to *Engine
 	ev Event
 }
 
 func (f *coldFleet) boot(i int) {
 	cfg := f.cfg
-	cfg.Self, cfg.Seed, cfg.Number, cfg.Controllers = i+1, uint64(i), i, len(f.rates)+1
+	cfg.Self, cfg.Seed, cfg.Index, cfg.Controllers = i+1, uint64(i), i, len(f.rates)+1
 	c, err := New(cfg)
 	if err != nil {
 		panic(err)
 	}
 	f.c[i] = c
-	f.do(c, List{Whole: true, Entries: f.entries()})
+	f.do(c, List{Full: true, Entries: f.entries()})
 }
 
 // entries are the switch, exchange 0, and those of the controllers.
@@ -53,7 +53,7 @@
 	return all
 }
 
-func (f *coldFleet) do(c *Controller, ev Event) {
+func (f *coldFleet) do(c *Engine, ev Event) {
 	for _, a := range c.Handle(f.now, ev, nil) {
 		switch a := a.(type) {
 		case SetTimer:
@@ -70,7 +70,7 @@
 			end := Event(Established{Call: a.Call, Exchange: a.Exchange, Delay: done - f.now})
 			if done > f.now+a.TimeOut {
 				done = f.now + a.TimeOut
-				end = Returned{Call: a.Call, Exchange: a.Exchange, Delay: a.TimeOut, Cause: TimedOut}
+				end = AttemptEnded{Call: a.Call, Exchange: a.Exchange, Delay: a.TimeOut, Cause: TimedOut}
 			}
 			f.due = append(f.due, coldEvent{done, c, end})
 		}
@@ -92,7 +92,7 @@
 		for i, c := range f.c {
 			offer := func(to int) {
 				f.next++
-				f.do(c, Offered{Call: f.next, Destination: to, Advised: -1, Circuits: 1, Due: f.now + 3*time.Second, Number: fmt.Sprint(f.next)})
+				f.do(c, Offered{Call: f.next, Destination: to, AdvisedTandem: -1, Circuits: 1, Due: f.now + 3*time.Second, Number: fmt.Sprint(f.next)})
 			}
 			if f.rnd.Float64() < rate(i)*tick.Seconds() {
 				offer(0)
@@ -112,7 +112,7 @@
 		for _, usual := range []float64{2.4, 5, 20} {
 			for _, demand := range []string{"usual", "three times", "all at once", "ten times after a while"} {
 				t.Run(fmt.Sprintf("%d controllers, %v/s, %s", m, usual, demand), func(t *testing.T) {
-					f := &coldFleet{cfg: config(), rates: make([]float64, m), c: make([]*Controller, m), now: time.Hour, addr: "old",
+					f := &coldFleet{cfg: config(), rates: make([]float64, m), c: make([]*Engine, m), now: time.Hour, addr: "old",
 						can: coldUse * usual, rnd: rand.New(rand.NewPCG(uint64(m), uint64(usual)))}
 					var sum float64
 					for i := range f.rates { // busy ones have several times the mean
@@ -145,11 +145,11 @@
 					case "all at once": // each has more at every moment than all may send
 						f.run(f.cfg.WarmUp, func(int) float64 { return 4 })
 					}
-					n := f.cfg.FallMultiple * f.cfg.ColdShare * coldUse * usual * f.cfg.FallSpan.Seconds()
+					n := f.cfg.CrashMultiple * f.cfg.ColdShare * coldUse * usual * f.cfg.CrashSpan.Seconds()
 					most := 0
 					for i, from := range f.sent {
 						in := len(f.sent) - i
-						if j := slices.IndexFunc(f.sent, func(at time.Duration) bool { return at >= from+f.cfg.FallSpan }); j >= 0 {
+						if j := slices.IndexFunc(f.sent, func(at time.Duration) bool { return at >= from+f.cfg.CrashSpan }); j >= 0 {
 							in = j - i
 						}
 						most = max(most, in)
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -99,7 +99,7 @@
 	turned     map[int]turnBacks // as tandem: by destination, the calls that it turned back
 	via        int               // as destination: the tandem that last carried a call, tried first
 
-	sends           []time.Duration // sends within the last FallSpan
+	sends           []time.Duration // sends within the last CrashSpan
 	permit, every   time.Duration   // of a cold budget below one send: of the next, and between two
 	usual, steps    float64         // usual set-ups a second sent to it while it is warm, by so many steps
 	sentStep, taken int             // set-ups sent to it in this step, and answered by it
@@ -148,8 +148,8 @@
 	refusedAt, aimEnd time.Duration // a call to it was last refused then; its aim ends then
 }
 
-// Controller is one call control. It is not safe for concurrent use.
-type Controller struct {
+// Engine is one call control. It is not safe for concurrent use.
+type Engine struct {
 	cfg        Config
 	now        time.Duration
 	out        []Action
@@ -178,15 +178,15 @@
 }
 
 // New makes a controller.
-func New(cfg Config) (*Controller, error) {
+func New(cfg Config) (*Engine, error) {
 	if len(cfg.Classes) == 0 {
 		return nil, errors.New("no call classes")
 	}
-	if min(cfg.Guard, cfg.Repeat, cfg.WarmUp, cfg.FallSpan) < 0 ||
-		min(cfg.ColdShare, cfg.FallMultiple, float64(cfg.MaxAttempts), float64(cfg.Controllers)) < 0 {
+	if min(cfg.Guard, cfg.Repeat, cfg.WarmUp, cfg.CrashSpan) < 0 ||
+		min(cfg.ColdShare, cfg.CrashMultiple, float64(cfg.MaxAttempts), float64(cfg.Controllers)) < 0 {
 		return nil, errors.New("a negative time, share or number")
 	}
-	c := &Controller{cfg: cfg, aim: math.MaxInt64, least: math.MaxFloat64,
+	c := &Engine{cfg: cfg, aim: math.MaxInt64, least: math.MaxFloat64,
 		exchanges: map[int]*exchange{}, byAddr: map[string]*exchange{},
 		calls: map[uint64]*call{}, numbers: map[string]*number{}, credit: make([]float64, len(cfg.Tenants))}
 	for i, cl := range cfg.Classes {
@@ -208,14 +208,14 @@
 }
 
 // Handle takes one event at the time now and appends to out what is to be done.
-func (c *Controller) Handle(now time.Duration, ev Event, out []Action) []Action {
+func (c *Engine) Handle(now time.Duration, ev Event, out []Action) []Action {
 	if c.stepDue > 0 && now > c.stepDue+stallAt {
 		c.resume(now)
 	}
 	c.now, c.out = now, out
 	if c.stepDue == 0 {
 		c.nextStep()
-		if c.cfg.AskForList {
+		if c.cfg.SubscribeToList {
 			c.do(Subscribe{})
 		}
 	}
@@ -228,9 +228,9 @@
 		c.alerting(ev)
 	case Established:
 		c.established(ev)
-	case Returned:
+	case AttemptEnded:
 		c.returned(ev)
-	case Released:
+	case CallerReleased:
 		if k := c.calls[ev.Call]; k != nil && k.phase != over {
 			c.end(k, false)
 		}
@@ -261,14 +261,14 @@
 	return out
 }
 
-func (c *Controller) nextStep() {
+func (c *Engine) nextStep() {
 	c.stepDue = c.now + stepEvery
 	c.do(SetTimer{ID: stepTimer, After: stepEvery})
 }
 
 // resume notes that the controller stood still: its own timer comes late, and all that happened meanwhile
 // comes at once. Late answers and slots held so long are its own doing and tell of no far load.
-func (c *Controller) resume(now time.Duration) {
+func (c *Engine) resume(now time.Duration) {
 	c.resumed, c.stepDue, c.now = now, now, now
 	for _, x := range append(c.order, c.own) {
 		c.slot(x, 0)
@@ -276,12 +276,12 @@
 	}
 }
 
-func (c *Controller) do(a Action) { c.out = append(c.out, a) }
+func (c *Engine) do(a Action) { c.out = append(c.out, a) }
 
 // list follows the list of exchanges.
-func (c *Controller) list(ev List) {
+func (c *Engine) list(ev List) {
 	if ev.Failed {
-		if c.cfg.AskForList {
+		if c.cfg.SubscribeToList {
 			c.do(Subscribe{})
 		}
 		return
@@ -320,7 +320,7 @@
 		}
 	}
 	for _, x := range c.order {
-		if ev.Whole && !seen[x.code] {
+		if ev.Full && !seen[x.code] {
 			x.health = Gone
 		}
 	}
@@ -328,7 +328,7 @@
 }
 
 // fresh notes that the processor of x has started anew: it is cold, and what was known of its load is void.
-func (c *Controller) fresh(x *exchange, launched time.Duration) {
+func (c *Engine) fresh(x *exchange, launched time.Duration) {
 	x.launched, x.latest = launched, 1
 	for _, k := range x.out { // what its predecessor leaves unanswered says nothing of it
 		k.missed = true
@@ -337,38 +337,38 @@
 	x.window = max(minSlots, x.window*c.cfg.ColdShare)
 }
 
-func (c *Controller) cold(x *exchange) bool {
+func (c *Engine) cold(x *exchange) bool {
 	return x.launched > 0 && c.now < x.launched+c.cfg.WarmUp
 }
 
 // coldRoom tells whether one more set-up to x keeps within the own share of the cold budget. All controllers
-// together push a fresh processor over by more than FallMultiple times what it can do in FallSpan. It could
+// together push a fresh processor over by more than CrashMultiple times what it can do in CrashSpan. It could
 // carry its usual load: each takes the part of the budget that it had of that. Of many controllers each has
 // less than one in a span: a token bucket of one, filled from where the own number puts it, so that not all
 // use theirs at once. While x has just answered as at a Low load, who has less than two may have one out.
-func (c *Controller) coldRoom(x *exchange) bool {
+func (c *Engine) coldRoom(x *exchange) bool {
 	if !c.cold(x) {
 		return true
 	}
 	// Nothing known, all controllers take the first window in a span, and none more than one. Where little is
 	// sent to each exchange, the usual rate of one is mostly chance: the mean of all weighs in.
-	part := c.cfg.FallMultiple * c.cfg.ColdShare
+	part := c.cfg.CrashMultiple * c.cfg.ColdShare
 	budget := min(1, part*startWindow/float64(max(1, c.cfg.Controllers-1)))
 	if seen := min(x.steps, 2/usualWeight) * stepEvery.Seconds(); c.usual > 0 {
-		budget = part * coldUse * c.cfg.FallSpan.Seconds() * (x.usual*seen + alike) / (seen + alike/c.usual)
+		budget = part * coldUse * c.cfg.CrashSpan.Seconds() * (x.usual*seen + alike) / (seen + alike/c.usual)
 	}
-	proved := x.latest <= setLow && len(x.out) == 0 && c.now < x.lastAnswer+c.cfg.FallSpan
+	proved := x.latest <= setLow && len(x.out) == 0 && c.now < x.lastAnswer+c.cfg.CrashSpan
 	if budget >= 1 {
 		return float64(len(x.sends)+1) <= budget || proved && budget < 2
 	}
-	x.every = time.Duration(min(float64(c.cfg.WarmUp), float64(c.cfg.FallSpan)/budget))
-	_, turn := math.Modf(math.Phi * float64(c.cfg.Number+x.code))
+	x.every = time.Duration(min(float64(c.cfg.WarmUp), float64(c.cfg.CrashSpan)/budget))
+	_, turn := math.Modf(math.Phi * float64(c.cfg.Index+x.code))
 	x.permit = max(x.permit, x.launched+time.Duration(turn*float64(x.every)))
 	return x.permit <= c.now || proved
 }
 
 // offered takes a call.
-func (c *Controller) offered(ev Offered) {
+func (c *Engine) offered(ev Offered) {
 	if ev.Class < 0 || ev.Class >= len(c.cfg.Classes) {
 		ev.Class = 0
 	}
@@ -401,7 +401,7 @@
 
 // overQuota counts a first try of a tenant and tells whether it is beyond its quota. A controller does not
 // see what tenants send elsewhere, so each may have the part of the own traffic that its quota is of all.
-func (c *Controller) overQuota(tenant int) bool {
+func (c *Engine) overQuota(tenant int) bool {
 	if len(c.cfg.Tenants) < 2 || tenant < 0 || tenant >= len(c.cfg.Tenants) {
 		return false
 	}
@@ -416,13 +416,13 @@
 }
 
 // evidence notes an answer of x that took d.
-func (c *Controller) evidence(x *exchange, d time.Duration) {
+func (c *Engine) evidence(x *exchange, d time.Duration) {
 	x.latest = min(1, max(0, d.Seconds()/c.slow.Seconds()))
 	x.answers, x.pressure = x.answers+1, x.pressure+x.latest
 }
 
 // place sends a call, holds it or refuses it.
-func (c *Controller) place(k *call) {
+func (c *Engine) place(k *call) {
 	wait := true
 	if c.now >= k.earliest {
 		var x *exchange
@@ -446,7 +446,7 @@
 }
 
 // unwait takes a call from the line of its destination.
-func (c *Controller) unwait(k *call) {
+func (c *Engine) unwait(k *call) {
 	if d := c.exchanges[k.Destination]; k.waits {
 		at, _ := slices.BinarySearchFunc(d.waiting, k, before)
 		d.waiting, k.waits = slices.Delete(d.waiting, at, at+1), false
@@ -454,7 +454,7 @@
 }
 
 // wake sets the timer of a held call: for the end of its release wait, then for the end of its hold.
-func (c *Controller) wake(k *call) {
+func (c *Engine) wake(k *call) {
 	at := k.holdUntil
 	if k.earliest > c.now {
 		at = k.earliest
@@ -478,7 +478,7 @@
 // serve tries the held calls again when something has come free: at x alone, unless it is nil. With many
 // exchanges a scan of all tandems for each held call would cost too much, and so would one of all held calls:
 // a line whose destination has no slot is left at once.
-func (c *Controller) serve(x *exchange) {
+func (c *Engine) serve(x *exchange) {
 	if c.own.held >= slots(c.own)+slotsForPrior {
 		return
 	}
@@ -511,7 +511,7 @@
 }
 
 // room is the part of a line from the first call on that may go now and for which there are slots.
-func (c *Controller) room(line []*call) []*call {
+func (c *Engine) room(line []*call) []*call {
 	for i, k := range line {
 		if k.phase != held || c.now < k.earliest {
 			continue
@@ -530,7 +530,7 @@
 func slots(x *exchange) int { return max(minSlots, int(x.window)) }
 
 // admits tells whether a first set-up may take a slot at x.
-func (c *Controller) admits(x *exchange, k *call) bool {
+func (c *Engine) admits(x *exchange, k *call) bool {
 	if x.silent { // no load, but no sign of life either: single trials
 		return len(x.out) == 0 && c.now >= x.trialAt
 	}
@@ -543,15 +543,15 @@
 
 // prior tells whether a call goes before others when room is short: it was cut and comes again, or its
 // worth is above that of other classes.
-func (c *Controller) prior(k *call) bool {
+func (c *Engine) prior(k *call) bool {
 	return !k.low && (k.CutBefore || k.worth > c.least)
 }
 
 // route chooses where a call goes next, or nil; wait tells whether it may be held for a slot or circuit. If
 // only is set, no other tandem is tried.
-func (c *Controller) route(k *call, only *exchange) (x *exchange, wait bool) {
+func (c *Engine) route(k *call, only *exchange) (x *exchange, wait bool) {
 	dest := c.exchanges[k.Destination]
-	if dest == nil || dest.health != Ready || slices.Contains(k.Exclude, dest.code) {
+	if dest == nil || dest.health != Ready || slices.Contains(k.Excluded, dest.code) {
 		return nil, false
 	}
 	if k.attempts >= c.cfg.MaxAttempts || k.mayRun && !c.cfg.Classes[k.Class].Repeatable {
@@ -590,7 +590,7 @@
 	for _, t := range tandems {
 		turned := t.turned[dest.code]
 		if t == dest || t.health != Ready || t.size < 0 || c.cold(t) || !c.quick(t) || !c.admits(t, k) ||
-			slices.Contains(k.tried, t.code) || slices.Contains(k.Exclude, t.code) ||
+			slices.Contains(k.tried, t.code) || slices.Contains(k.Excluded, t.code) ||
 			t.free < k.Circuits+kept(t) ||
 			turned.n > 0 && c.now < turned.last+turnedBackKept {
 			continue
@@ -599,7 +599,7 @@
 		switch { // the one that last carried a call there goes first, then the advised one
 		case t.code == dest.via && turned.n <= 0:
 			h = 0
-		case t.code == k.Advised:
+		case t.code == k.AdvisedTandem:
 			h = 1
 		}
 		if choice == nil || h < least {
@@ -616,7 +616,7 @@
 // send starts an attempt. It is the one place that does, and here the rules hold whatever asked for it:
 // the call is live, within its time and has no attempt out, the exchange neither drains nor is gone, the
 // cold budget has room, and the release has been awaited.
-func (c *Controller) send(k *call, x *exchange) bool {
+func (c *Engine) send(k *call, x *exchange) bool {
 	if k.phase != held || c.now >= k.Due || c.now < k.earliest || k.attempts >= c.cfg.MaxAttempts ||
 		x.health != Ready || !c.coldRoom(x) || k.Transit && x.code != k.Destination || x == c.own {
 		return false
@@ -653,14 +653,14 @@
 }
 
 // slot takes (1) or frees (-1) a slot at x and keeps the account of slots held over time.
-func (c *Controller) slot(x *exchange, n int) {
+func (c *Engine) slot(x *exchange, n int) {
 	x.heldSum += time.Duration(x.held) * (c.now - x.heldAt)
 	x.heldAt, x.held = c.now, x.held+n
 	x.peak = max(x.peak, x.held)
 }
 
 // answered takes the attempt that is out from the books.
-func (c *Controller) answered(k *call) {
+func (c *Engine) answered(k *call) {
 	if k.to == nil {
 		return
 	}
@@ -675,7 +675,7 @@
 }
 
 // free gives back the slots of an attempt.
-func (c *Controller) free(k *call) {
+func (c *Engine) free(k *call) {
 	if k.slotted {
 		c.slot(k.to, -1)
 		c.slot(c.own, -1)
@@ -685,7 +685,7 @@
 
 // end closes a call, with its final answer if that is owed still. No other place does. A call fails if an
 // attempt may have been carried out, else it is refused.
-func (c *Controller) end(k *call, owed bool) {
+func (c *Engine) end(k *call, owed bool) {
 	if owed && k.phase != over && k.phase != standing {
 		if k.mayRun {
 			c.do(Fail{Call: k.Call})
@@ -710,10 +710,10 @@
 }
 
 // quick tells whether x answers and its load reads more Low than Medium.
-func (c *Controller) quick(x *exchange) bool { return !x.silent && x.seen <= (setLow+setMid)/2 }
+func (c *Engine) quick(x *exchange) bool { return !x.silent && x.seen <= (setLow+setMid)/2 }
 
 // alive notes a sign of life of x.
-func (c *Controller) alive(x *exchange) {
+func (c *Engine) alive(x *exchange) {
 	if x.silent { // what kept it silent may be over for others: a region comes back at once
 		for _, y := range c.order {
 			y.trialAt = c.now
@@ -725,7 +725,7 @@
 // alerting ends the processor's part of an attempt. It is out still, but ringing is the subscriber's affair:
 // no slot is held for it. An exchange may say so at once and do the work later; the wait that it is reported
 // to have then tells how long the slot is held.
-func (c *Controller) alerting(ev Alerting) {
+func (c *Engine) alerting(ev Alerting) {
 	k := c.calls[ev.Call]
 	if k == nil || k.to == nil || k.rings {
 		return
@@ -744,7 +744,7 @@
 }
 
 // beyond is how much of d is beyond the least that answers of x take: that is its distance, and no load.
-func (c *Controller) beyond(x *exchange, d time.Duration) time.Duration {
+func (c *Engine) beyond(x *exchange, d time.Duration) time.Duration {
 	if x.distance == 0 || d < x.distance {
 		x.distance = max(0, min(d, c.slow/2))
 	}
@@ -752,7 +752,7 @@
 }
 
 // carried notes what the end of the processor's part after d tells of the exchange that an attempt went to.
-func (c *Controller) carried(k *call, at string, took time.Duration) {
+func (c *Engine) carried(k *call, at string, took time.Duration) {
 	x, d := k.to, took
 	same := x.addr == at
 	if same {
@@ -772,7 +772,7 @@
 	}
 }
 
-func (c *Controller) established(ev Established) {
+func (c *Engine) established(ev Established) {
 	k := c.calls[ev.Call]
 	if k == nil || k.to == nil {
 		return
@@ -790,7 +790,7 @@
 	c.serve(nil)
 }
 
-func (c *Controller) returned(ev Returned) {
+func (c *Engine) returned(ev AttemptEnded) {
 	x := c.byAddr[ev.Exchange]
 	if x != nil && ev.Report != nil {
 		c.report(x, ev.Report)
@@ -830,7 +830,7 @@
 		again = ev.Reason == NoCircuit
 	case NotSetUp:
 		// A full destination is not asked again, neither direct nor over a tandem.
-		again = ev.Reason != TurnedBackFull && !(ev.Reason == ProcessorFull && direct && c.now < x.fullUntil)
+		again = ev.Reason != CrankbackFull && !(ev.Reason == ProcessorFull && direct && c.now < x.fullUntil)
 	}
 	if again && !k.Transit && c.now < k.Due-answerSpare {
 		c.place(k)
@@ -841,7 +841,7 @@
 }
 
 // learn draws from an attempt that has ended what it tells of the exchange and the number.
-func (c *Controller) learn(k *call, x *exchange, direct bool, ev Returned) {
+func (c *Engine) learn(k *call, x *exchange, direct bool, ev AttemptEnded) {
 	switch ev.Cause {
 	case Completed, Failed, NotSetUp:
 		c.alive(x)
@@ -863,10 +863,10 @@
 		if ev.Cause != NotSent {
 			c.evidence(x, c.aim)
 		}
-	case TurnedBackFull:
+	case CrankbackFull:
 		c.evidence(c.exchanges[k.Destination], c.aim)
 		fallthrough
-	case TurnedBack:
+	case Crankback:
 		c.turnBack(x, k.Destination)
 	case NumberBusy:
 		c.number(k.Number).busyAt = c.now
@@ -875,19 +875,19 @@
 
 // full notes that a set-up came back for want of the processor of x. An exchange that answers quickly and
 // turns one away now and then is not full: a rest would cost the calls of a second for one.
-func (c *Controller) full(x *exchange, wait time.Duration) {
+func (c *Engine) full(x *exchange, wait time.Duration) {
 	if x.fulls++; wait > 0 || x.fulls >= fullInRow || !c.quick(x) {
 		x.fullUntil = c.now + max(pause, wait)
 	}
 }
 
 // turnBack notes that x as tandem did not carry a call to the destination.
-func (c *Controller) turnBack(x *exchange, destination int) {
+func (c *Engine) turnBack(x *exchange, destination int) {
 	x.turned[destination] = turnBacks{max(0, x.turned[destination].n) + 1, c.now}
 }
 
 // number is the evidence on one number.
-func (c *Controller) number(key string) *number {
+func (c *Engine) number(key string) *number {
 	n := c.numbers[key]
 	if n == nil {
 		n = &number{}
@@ -899,7 +899,7 @@
 }
 
 // unanswered notes a set-up to x, sent at the given time, that has had no answer.
-func (c *Controller) unanswered(x *exchange, sent time.Duration) {
+func (c *Engine) unanswered(x *exchange, sent time.Duration) {
 	if x.lastAnswer >= sent {
 		if c.quick(x) { // others were answered, and quickly: it was lost
 			x.lost++
@@ -915,7 +915,7 @@
 }
 
 // report takes what is told of x.
-func (c *Controller) report(x *exchange, r *Report) {
+func (c *Engine) report(x *exchange, r *Report) {
 	if r.Free >= 0 && r.Size >= 0 {
 		x.free, x.size = r.Free, r.Size
 	}
@@ -929,16 +929,16 @@
 	} else if r.Queue >= 0 && r.Rate > 0 {
 		load = max(load, min(1, r.Queue/r.Rate/c.slow.Seconds()))
 	}
-	if load = max(load, r.HoldBack); load >= 0 {
+	if load = max(load, r.Reduction); load >= 0 {
 		x.load, x.loadAt = load, c.now
 	}
 }
 
 // told tells whether the own lateness is told, and need not be guessed from answers.
-func (c *Controller) told() bool { return c.own.loadAt > 0 && c.now-c.own.loadAt <= reportKept }
+func (c *Engine) told() bool { return c.own.loadAt > 0 && c.now-c.own.loadAt <= reportKept }
 
 // step resizes every window, in the order of the point codes.
-func (c *Controller) step() {
+func (c *Engine) step() {
 	told := c.told()
 	if told {
 		c.ownWait = c.own.wait
@@ -955,7 +955,7 @@
 				c.unanswered(x, k.sentAt)
 			}
 		}
-		for len(x.sends) > 0 && x.sends[0] <= c.now-c.cfg.FallSpan {
+		for len(x.sends) > 0 && x.sends[0] <= c.now-c.cfg.CrashSpan {
 			x.sends = x.sends[1:]
 		}
 		if x.health == Ready && !x.silent && !c.cold(x) {
@@ -991,7 +991,7 @@
 }
 
 // resize is the step of one window: Wmax += dW * Wmax, dW from Table I.
-func (c *Controller) resize(x *exchange) {
+func (c *Engine) resize(x *exchange) {
 	c.slot(x, 0)
 	x.heldAvg[1], x.heldAvg[0] = x.heldAvg[0], x.heldSum.Seconds()/stepEvery.Seconds()
 	peak := x.peak
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -13,7 +13,7 @@
 
 func config() Config {
 	return Config{Seed: 1, Self: 0, Controllers: 4, MaxAttempts: 4, Guard: 200 * ms,
-		WarmUp: 15 * time.Second, ColdShare: 0.4, FallMultiple: 2, FallSpan: 3 * time.Second,
+		WarmUp: 15 * time.Second, ColdShare: 0.4, CrashMultiple: 2, CrashSpan: 3 * time.Second,
 		Classes: []Class{
 			{Aim: 1500 * ms, Worth: 1, Circuits: 1, Repeatable: true},
 			{Aim: 1200 * ms, Worth: 5, Circuits: 1, Repeatable: true}}}
@@ -24,7 +24,7 @@
 // rig drives one controller and keeps what it did.
 type rig struct {
 	t   *testing.T
-	c   *Controller
+	c   *Engine
 	now time.Duration
 	id  uint64
 }
@@ -40,7 +40,7 @@
 	for i, a := range addresses {
 		list.Entries = append(list.Entries, Entry{Address: a, PointCode: i})
 	}
-	list.Whole = true
+	list.Full = true
 	r.do(list)
 	for i := 1; i < len(addresses); i++ {
 		r.group(i, free)
@@ -60,13 +60,13 @@
 
 func (r *rig) group(i int, free float64) []Action {
 	return r.do(Status{Exchange: addresses[i], OK: true, Report: Report{Free: free, Size: 40,
-		Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, HoldBack: -1}})
+		Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}})
 }
 
 // call offers a call to exchange dest.
 func (r *rig) call(dest int, change ...func(*Offered)) []Action {
 	r.id++
-	ev := Offered{Call: r.id, Destination: dest, Advised: -1, Circuits: 1, Due: r.now + 3*time.Second,
+	ev := Offered{Call: r.id, Destination: dest, AdvisedTandem: -1, Circuits: 1, Due: r.now + 3*time.Second,
 		Number: strings.Repeat("n", int(r.id%50)+1)}
 	for _, f := range change {
 		f(&ev)
@@ -75,7 +75,7 @@
 }
 
 func (r *rig) returned(id uint64, at string, cause Cause, why Reason) []Action {
-	return r.do(Returned{Call: id, Exchange: at, Cause: cause, Reason: why})
+	return r.do(AttemptEnded{Call: id, Exchange: at, Cause: cause, Reason: why})
 }
 
 // pass lets time go by without a stall: the step timer is not overdue.
@@ -222,7 +222,7 @@
 		}
 	}
 	r := newRig(t, config(), 20)
-	r.do(List{Whole: true, Entries: []Entry{{Address: "a:2", PointCode: 2}}})
+	r.do(List{Full: true, Entries: []Entry{{Address: "a:2", PointCode: 2}}})
 	if acts := r.call(1); count[SetUp](acts) != 0 {
 		t.Errorf("an exchange missing from the whole list was sent to: %v", acts)
 	}
@@ -236,7 +236,7 @@
 	r.c.usual = 4
 	r.do(List{Entries: []Entry{{Address: "a:1", PointCode: 1, Launched: r.now}}})
 	x.window = 100
-	limit := coldUse * cfg.FallMultiple * cfg.ColdShare * 4 * cfg.FallSpan.Seconds()
+	limit := coldUse * cfg.CrashMultiple * cfg.ColdShare * 4 * cfg.CrashSpan.Seconds()
 	var sends []time.Duration
 	for i := range 1500 {
 		r.pass(5 * ms)
@@ -252,7 +252,7 @@
 	for i, from := range sends {
 		n := 0
 		for _, at := range sends[i:] {
-			if at < from+cfg.FallSpan {
+			if at < from+cfg.CrashSpan {
 				n++
 			}
 		}
@@ -272,11 +272,11 @@
 	if first != "a:2" && first != "a:3" {
 		t.Fatalf("sent to %q, want a tandem", first)
 	}
-	second := r.sentTo(r.returned(1, first, NotSetUp, TurnedBack))
+	second := r.sentTo(r.returned(1, first, NotSetUp, Crankback))
 	if second == first || second == "" || second == "a:1" {
 		t.Fatalf("second attempt to %q, want the other tandem", second)
 	}
-	if acts := r.returned(1, second, NotSetUp, TurnedBackFull); count[Refuse](acts) != 1 {
+	if acts := r.returned(1, second, NotSetUp, CrankbackFull); count[Refuse](acts) != 1 {
 		t.Errorf("destination full: %v, want Refuse", acts)
 	}
 	r.group(2, keptForDirect)
@@ -378,7 +378,7 @@
 	}
 }
 
-func TestNonsenseSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for name, change := range map[string]func(*Config){
 		"no classes":     func(c *Config) { c.Classes = nil },
 		"negative guard": func(c *Config) { c.Guard = -1 },
@@ -415,15 +415,15 @@
 // TestExcluded: a call that is kept away from an exchange takes it neither as destination nor as tandem; others do.
 func TestExcluded(t *testing.T) {
 	r := newRig(t, config(), 20)
-	if acts := r.call(1, func(o *Offered) { o.Exclude = []int{1} }); count[SetUp](acts) != 0 || count[Refuse](acts) != 1 {
+	if acts := r.call(1, func(o *Offered) { o.Excluded = []int{1} }); count[SetUp](acts) != 0 || count[Refuse](acts) != 1 {
 		t.Errorf("destination: %v", acts)
 	}
 	r.group(1, 0)
-	acts := r.call(1, func(o *Offered) { o.Exclude = []int{2} })
+	acts := r.call(1, func(o *Offered) { o.Excluded = []int{2} })
 	if s, ok := acts[0].(SetUp); !ok || s.Exchange != addresses[3] {
 		t.Errorf("tandem: %v", acts)
 	}
-	if acts := r.call(1, func(o *Offered) { o.Exclude = []int{2, 3} }); count[SetUp](acts) != 0 {
+	if acts := r.call(1, func(o *Offered) { o.Excluded = []int{2, 3} }); count[SetUp](acts) != 0 {
 		t.Errorf("all tandems: %v", acts)
 	}
 }
@@ -598,34 +598,34 @@
 	r.group(1, 0)
 	r.c.own.window, r.c.exchanges[3].window = 50, 50
 	for advised, want := range map[int]string{2: "a:2", 3: "a:3"} {
-		if got := r.sentTo(r.call(1, func(o *Offered) { o.Advised = advised })); got != want {
+		if got := r.sentTo(r.call(1, func(o *Offered) { o.AdvisedTandem = advised })); got != want {
 			t.Errorf("advised %d: sent to %s", advised, got)
 		}
 	}
-	r.call(1, func(o *Offered) { o.Advised = 2 })
-	r.returned(r.id, "a:2", NotSetUp, TurnedBack)
-	if got := r.sentTo(r.call(1, func(o *Offered) { o.Advised = 2 })); got == "a:2" {
+	r.call(1, func(o *Offered) { o.AdvisedTandem = 2 })
+	r.returned(r.id, "a:2", NotSetUp, Crankback)
+	if got := r.sentTo(r.call(1, func(o *Offered) { o.AdvisedTandem = 2 })); got == "a:2" {
 		t.Error("stale advice was followed again at once")
 	}
 	for _, bad := range []int{0, 1, 99, -1} { // the own exchange, the destination, none
-		if got := r.sentTo(r.call(1, func(o *Offered) { o.Advised = bad })); got != "a:3" {
+		if got := r.sentTo(r.call(1, func(o *Offered) { o.AdvisedTandem = bad })); got != "a:3" {
 			t.Errorf("advised %d: sent to %q", bad, got)
 		}
 	}
 }
 
-// TestOddEvents: figures that jump, answers after the end and word of unknown ones change nothing and break nothing.
-func TestOddEvents(t *testing.T) {
+// TestUnexpectedEvents: figures that jump, answers after the end and word of unknown ones change nothing and break nothing.
+func TestUnexpectedEvents(t *testing.T) {
 	r := newRig(t, config(), 20)
 	r.call(1)
 	r.pass(1500 * ms)
 	r.returned(1, "a:1", TimedOut, NoReason)
 	for name, ev := range map[string]Event{
 		"late answer":        Established{Call: 1, Exchange: "a:1", Delay: 2 * time.Second},
-		"unknown call":       Returned{Call: 99, Exchange: "a:1", Cause: Completed, Final: true},
+		"unknown call":       AttemptEnded{Call: 99, Exchange: "a:1", Cause: Completed, Final: true},
 		"unknown exchange":   Status{Exchange: "x", OK: true},
 		"unknown timer":      Timer{ID: 77},
-		"unknown release":    Released{Call: 99},
+		"unknown release":    CallerReleased{Call: 99},
 		"list not to be had": List{Failed: true},
 	} {
 		if acts := r.do(ev); len(acts) != 0 {
@@ -639,7 +639,7 @@
 		if got := r.sentTo(r.call(1)); got != "" && i%3 != 0 {
 			t.Errorf("health %d: sent to %q", i%3, got)
 		}
-		r.do(Released{Call: r.id})
+		r.do(CallerReleased{Call: r.id})
 	}
 	if n := len(r.c.wanted); n != 0 && len(r.c.wanted[0].waiting) != 0 {
 		t.Errorf("%d calls still held", n)
@@ -653,7 +653,7 @@
 		"silent":  func(r *rig) { r.c.exchanges[2].silent = true },
 		"cold":    func(r *rig) { r.c.exchanges[2].launched = r.now },
 		"timed out": func(r *rig) {
-			r.call(1, func(o *Offered) { o.Advised = 2 })
+			r.call(1, func(o *Offered) { o.AdvisedTandem = 2 })
 			r.pass(1500 * ms)
 			r.returned(r.id, "a:2", TimedOut, NoReason)
 		},
@@ -661,7 +661,7 @@
 		r := newRig(t, config(), 20)
 		r.group(1, 0)
 		spoil(r)
-		if got := r.sentTo(r.call(1, func(o *Offered) { o.Advised = 2 })); got != "a:3" {
+		if got := r.sentTo(r.call(1, func(o *Offered) { o.AdvisedTandem = 2 })); got != "a:3" {
 			t.Errorf("%s tandem: sent to %q, want the other", name, got)
 		}
 	}
@@ -721,7 +721,7 @@
 
 func (r *rig) sized(i int, free, size float64) []Action {
 	return r.do(Status{Exchange: addresses[i], OK: true, Report: Report{Free: free, Size: size,
-		Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, HoldBack: -1}})
+		Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}})
 }
 
 func TestTandemThatCarriedGoesFirst(t *testing.T) {
@@ -730,13 +730,13 @@
 	first := r.sentTo(r.call(1))
 	r.do(Established{Call: r.id, Exchange: first, Delay: 80 * ms})
 	for range 5 {
-		if at := r.sentTo(r.call(1, func(o *Offered) { o.Advised = 30 })); at != first {
+		if at := r.sentTo(r.call(1, func(o *Offered) { o.AdvisedTandem = 30 })); at != first {
 			t.Fatalf("sent to %s, though %s carried the last call", at, first)
 		}
 		r.do(Established{Call: r.id, Exchange: first, Delay: 80 * ms})
 	}
 	r.call(1)
-	r.returned(r.id, first, NotSetUp, TurnedBack)
+	r.returned(r.id, first, NotSetUp, Crankback)
 	r.pass(turnedBackKept)
 	for range 5 {
 		at := r.sentTo(r.call(1))
@@ -841,7 +841,7 @@
 		r.do(List{Entries: []Entry{{Address: "a:1", PointCode: 1, Health: Gone}}})
 		if to := r.sentTo(r.call(1)); to != "" {
 			r.do(Established{Call: r.id, Exchange: to, Delay: 50 * ms})
-			r.do(Returned{Call: r.id, Exchange: to, Final: true, Cause: Completed})
+			r.do(AttemptEnded{Call: r.id, Exchange: to, Final: true, Cause: Completed})
 		}
 		r.pass(20 * time.Second)
 		r.do(Timer{ID: r.id})
@@ -878,13 +878,13 @@
 				x := fmt.Sprintf("a:%d", 1+i%(n-1))
 				switch i % 4 {
 				case 0:
-					out = c.Handle(now, Offered{Call: uint64(i + 1), Destination: 1 + i%(n-1), Advised: -1, Circuits: 1,
+					out = c.Handle(now, Offered{Call: uint64(i + 1), Destination: 1 + i%(n-1), AdvisedTandem: -1, Circuits: 1,
 						Due: now + 3*time.Second, Number: x}, out[:0])
 				case 3:
-					out = c.Handle(now, Released{Call: uint64(i - 2)}, out[:0])
+					out = c.Handle(now, CallerReleased{Call: uint64(i - 2)}, out[:0])
 				default:
 					out = c.Handle(now, Status{Exchange: x, OK: true, Report: Report{Free: 0, Size: 5, Utilisation: -1,
-						Queue: -1, Rate: -1, Wait: -1, HoldBack: -1}}, out[:0])
+						Queue: -1, Rate: -1, Wait: -1, Reduction: -1}}, out[:0])
 				}
 			}
 		})
@@ -998,7 +998,7 @@
 func TestRefusedCallersAreToldWhenToComeBack(t *testing.T) {
 	r := newRig(t, config(), 9)
 	r.call(1)
-	r.do(Returned{Call: r.id, Exchange: "a:1", Cause: NotSetUp, Reason: ProcessorFull, Wait: 3 * time.Second})
+	r.do(AttemptEnded{Call: r.id, Exchange: "a:1", Cause: NotSetUp, Reason: ProcessorFull, Wait: 3 * time.Second})
 	r.now += 500 * ms
 	var told []time.Duration
 	refused := func(acts []Action) {
@@ -1031,7 +1031,7 @@
 			r.now += took
 			for i, id := range ids {
 				r.do(Established{Call: id, Exchange: addresses[i+1], Delay: took})
-				r.do(Returned{Call: id, Exchange: addresses[i+1], Final: true})
+				r.do(AttemptEnded{Call: id, Exchange: addresses[i+1], Final: true})
 			}
 			r.now += max(0, 500*ms-took)
 			r.do(Timer{ID: stepTimer})
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -20,8 +20,8 @@
 	now := time.Minute
 	var actions []policy.Action
 	for _, ev := range []policy.Event{
-		policy.List{Whole: true, Entries: []policy.Entry{{Address: "10.0.0.2:8080", PointCode: 1}}},
-		policy.Offered{Call: 7, Destination: 1, Advised: -1, Circuits: 1, Due: now + 3*time.Second},
+		policy.List{Full: true, Entries: []policy.Entry{{Address: "10.0.0.2:8080", PointCode: 1}}},
+		policy.Offered{Call: 7, Destination: 1, AdvisedTandem: -1, Circuits: 1, Due: now + 3*time.Second},
 	} {
 		actions = ctl.Handle(now, ev, actions)
 	}
--- a/policy/phases_test.go
+++ b/policy/phases_test.go
@@ -38,7 +38,7 @@
 					if why == TimedOut {
 						d = a.TimeOut
 					}
-					f.after(d, Returned{Call: a.Call, Exchange: a.Exchange, Delay: d, Cause: why, Reason: reason})
+					f.after(d, AttemptEnded{Call: a.Call, Exchange: a.Exchange, Delay: d, Cause: why, Reason: reason})
 					continue
 				}
 			}
@@ -90,7 +90,7 @@
 					stood++
 				}
 				f.act(f.c.Handle(f.now, e, nil))
-				f.act(f.c.Handle(f.now, Returned{Call: e.Call, Exchange: e.Exchange, Final: true, Cause: Completed}, nil))
+				f.act(f.c.Handle(f.now, AttemptEnded{Call: e.Call, Exchange: e.Exchange, Final: true, Cause: Completed}, nil))
 				continue
 			}
 			f.act(f.c.Handle(f.now, t.ev, nil))
@@ -103,7 +103,7 @@
 			offered++
 			counted[f.id] = true
 		}
-		f.act(f.c.Handle(f.now, Offered{Call: f.id, Destination: 1 + int(f.id)%dests, Advised: -1, Circuits: 1, Due: f.now + 3*time.Second,
+		f.act(f.c.Handle(f.now, Offered{Call: f.id, Destination: 1 + int(f.id)%dests, AdvisedTandem: -1, Circuits: 1, Due: f.now + 3*time.Second,
 			Number: "n" + string(rune(f.id))}, nil))
 		next = f.now + time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second))
 	}
@@ -115,7 +115,7 @@
 	// The own lateness is told, as the program does.
 	for i := range 2000 {
 		f.after(time.Duration(i)*stepEvery, Status{Exchange: "a:0", OK: true, Report: Report{Free: -1, Size: -1, Utilisation: -1,
-			Queue: -1, Rate: -1, Wait: 0.0002, HoldBack: -1}})
+			Queue: -1, Rate: -1, Wait: 0.0002, Reduction: -1}})
 	}
 	return f
 }
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestThinFaults: a full, unanswered or failed set-up now and then was taken for a state of the whole exchange.
-func TestThinFaults(t *testing.T) {
+// TestCallFaults: a full, unanswered or failed set-up now and then was taken for a state of the whole exchange.
+func TestCallFaults(t *testing.T) {
 	for _, tc := range []struct {
 		why    Cause
 		reason Reason
@@ -205,7 +205,7 @@
 func TestEarlyAlertingHidesNoWait(t *testing.T) {
 	r := newRig(t, config(), 1000)
 	x := r.c.exchanges[1]
-	r.do(Status{Exchange: "a:1", OK: true, Report: Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: 0.5, HoldBack: -1}})
+	r.do(Status{Exchange: "a:1", OK: true, Report: Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: 0.5, Reduction: -1}})
 	r.call(1)
 	r.pass(10 * ms)
 	acts := r.c.Handle(r.now, Alerting{Call: r.id, Exchange: "a:1", Delay: 10 * ms}, nil)
@@ -251,7 +251,7 @@
 	}
 	r.do(Alerting{Call: r.id, Exchange: at, Delay: 20 * ms})
 	r.pass(50 * ms)
-	if next := r.sentTo(r.returned(r.id, at, NotSetUp, TurnedBack)); next == "" || next == at {
+	if next := r.sentTo(r.returned(r.id, at, NotSetUp, Crankback)); next == "" || next == at {
 		t.Errorf("sent to %q after %q turned it back", next, at)
 	}
 	id := r.id
@@ -271,8 +271,8 @@
 	}
 }
 
-// TestThinFaultsEverywhereTogether: full, unanswered and failed set-ups at once, at every exchange.
-func TestThinFaultsEverywhereTogether(t *testing.T) {
+// TestCallFaultsEverywhereTogether: full, unanswered and failed set-ups at once, at every exchange.
+func TestCallFaultsEverywhereTogether(t *testing.T) {
 	f := newFlow(t, 20*ms, time.Second)
 	chance := rand.New(rand.NewPCG(5, 6))
 	f.fault = func(int) (Cause, Reason, bool) {
