--- a/record/record.go
+++ b/record/record.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Kind tells what a link joins.
-type Kind uint8
+// LinkKind tells what a link joins.
+type LinkKind uint8
 
 // The kinds of links. All have a controller at one end.
 const (
-	ClientLink Kind = iota // a client
-	FarLink                // the switch of another exchange
-	OwnLink                // the own switch
+	ClientLink LinkKind = iota // a client
+	FarLink                    // the switch of another exchange
+	OwnLink                    // the own switch
 )
 
 // Link is one connection.
 type Link struct {
-	Kind       Kind
+	Kind       LinkKind
 	Controller uint32        // point code of the controller's exchange
 	Switch     uint32        // of the switch
 	Opened     time.Duration // when traffic could flow
@@ -35,21 +35,21 @@
 	Data []byte
 }
 
-// MarkKind is what was done.
-type MarkKind uint8
+// EventKind is what was done.
+type EventKind uint8
 
 // The marks.
 const (
-	Started MarkKind = iota // a switch's processor started; Value: set-ups a second that it can take when warm
-	Stopped                 // ... stopped
-	Held                    // a controller was stopped for Span
-	Trouble                 // a trouble of the day, for Span; Name
+	Started EventKind = iota // a switch's processor started; Value: set-ups a second that it can take when warm
+	Stopped                  // ... stopped
+	Stalled                  // a controller was stopped for Span
+	Fault                    // a trouble of the day, for Span; Name
 )
 
-// Mark is one thing done.
-type Mark struct {
+// Event is one thing done.
+type Event struct {
 	At    time.Duration
-	Kind  MarkKind
+	Kind  EventKind
 	PC    uint32
 	Cold  bool
 	Value float64
@@ -63,7 +63,7 @@
 	start  time.Time
 	links  []Link
 	frames []Frame
-	marks  []Mark
+	marks  []Event
 	arena  []byte
 	off    bool
 }
@@ -82,7 +82,7 @@
 }
 
 // Open notes a new link and returns its number.
-func (l *Log) Open(k Kind, controller, sw uint32) int32 {
+func (l *Log) Open(k LinkKind, controller, sw uint32) int32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.links = append(l.links, Link{Kind: k, Controller: controller, Switch: sw, Opened: l.Now()})
@@ -90,7 +90,7 @@
 }
 
 // Kind is the kind of a link.
-func (l *Log) Kind(link int32) Kind {
+func (l *Log) Kind(link int32) LinkKind {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.links[link].Kind
@@ -120,28 +120,28 @@
 	l.frames = append(l.frames, Frame{l.Now(), link, in, l.arena[at:len(l.arena):len(l.arena)]})
 }
 
-// Mark notes something done now.
-func (l *Log) Mark(m Mark) {
+// Event notes something done now.
+func (l *Log) Event(m Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m.At = l.Now()
 	l.marks = append(l.marks, m)
 }
 
-// Day is a finished record: all by time.
-type Day struct {
+// Recording is a finished record: all by time.
+type Recording struct {
 	Links  []Link
 	Frames []Frame
-	Marks  []Mark
+	Events []Event
 	End    time.Duration
 }
 
-// Day ends the record.
-func (l *Log) Day() Day {
+// Finish ends the record.
+func (l *Log) Finish() Recording {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := Day{slices.Clone(l.links), slices.Clone(l.frames), slices.Clone(l.marks), l.Now()}
+	d := Recording{slices.Clone(l.links), slices.Clone(l.frames), slices.Clone(l.marks), l.Now()}
 	slices.SortStableFunc(d.Frames, func(a, b Frame) int { return int(a.At - b.At) })
-	slices.SortStableFunc(d.Marks, func(a, b Mark) int { return int(a.At - b.At) })
+	slices.SortStableFunc(d.Events, func(a, b Event) int { return int(a.At - b.At) })
 	return d
 }
--- a/scenario/baseline/baseline.go
+++ b/scenario/baseline/baseline.go
@@ -26,7 +26,7 @@
 }
 
 // New makes the policy.
-func New(policy.Config) (controller.Module, error) {
+func New(policy.Config) (controller.Engine, error) {
 	return &directOnly{exchanges: map[int]*exchange{}, calls: map[uint64]*call{}}, nil
 }
 
@@ -57,7 +57,7 @@
 		x.free--
 		p.calls[ev.Call] = &call{due: ev.Due}
 		return append(out, policy.SetUp{Call: ev.Call, Exchange: x.addr, TimeOut: ev.Due - now})
-	case policy.Returned:
+	case policy.AttemptEnded:
 		k := p.calls[ev.Call]
 		delete(p.calls, ev.Call)
 		if k == nil || ev.Final {
@@ -70,7 +70,7 @@
 		return append(out, policy.Refuse{Call: ev.Call})
 	case policy.Established:
 		delete(p.calls, ev.Call)
-	case policy.Released:
+	case policy.CallerReleased:
 	}
 	return out
 }
--- a/scenario/flood_test.go
+++ b/scenario/flood_test.go
@@ -11,15 +11,15 @@
 )
 
 // flooded is a day of ten tenants' clients at each controller, the first of which floods at size times its share.
-func flooded(size, door, clientDoor float64, seed uint64) *Day {
+func flooded(size, door, clientDoor float64, seed uint64) *Scenario {
 	d := Default()
 	d.Name, d.Length, d.Seed = "flood", 20*time.Second, seed
-	d.Traffic.Load, d.Traffic.Redials, d.Traffic.Door, d.Traffic.ClientDoor = 0.8, 0, door, clientDoor
+	d.Traffic.Load, d.Traffic.Redials, d.Traffic.AdmissionLimit, d.Traffic.ClientAdmissionLimit = 0.8, 0, door, clientDoor
 	for i := range 10 {
 		d.Traffic.Tenants = append(d.Traffic.Tenants, Tenant{fmt.Sprint("t", i), 0.1})
 	}
 	if size > 1 {
-		d.Troubles = []Trouble{{Kind: ClientFlood, At: 4 * time.Second, For: 12 * time.Second, Size: size}}
+		d.Faults = []Fault{{Kind: ClientFlood, At: 4 * time.Second, For: 12 * time.Second, Size: size}}
 	}
 	return &d
 }
@@ -27,7 +27,7 @@
 // others is the service of all clients but the flooding one, judged from the record without the flooding one's links.
 func others(t *testing.T, res Result) float64 {
 	t.Helper()
-	var day record.Day
+	var day record.Recording
 	skip := map[int32]bool{}
 	for _, f := range res.Record.Frames {
 		if res.Record.Links[f.Link].Kind != record.ClientLink {
@@ -44,7 +44,7 @@
 			day.Frames = append(day.Frames, f)
 		}
 	}
-	r := check.Judge(day, res.Spec)
+	r := check.Evaluate(day, res.Spec)
 	return r.Whole.Share
 }
 
--- a/scenario/hooks_test.go
+++ b/scenario/hooks_test.go
@@ -17,11 +17,11 @@
 )
 
 // busy is a day at 120% of the planned load with a storm peak.
-func busy() *Day {
+func busy() *Scenario {
 	d := Default()
 	d.Name, d.Length, d.Seed = "hooks", 20*time.Second, 5
 	d.Traffic.Load = 1.2
-	d.Troubles = []Trouble{{Kind: LoadJump, At: 8 * time.Second, For: 4 * time.Second, Size: 1.3}}
+	d.Faults = []Fault{{Kind: LoadJump, At: 8 * time.Second, For: 4 * time.Second, Size: 1.3}}
 	return &d
 }
 
@@ -253,8 +253,8 @@
 		t.Errorf("%+v", a)
 	}
 	for _, x := range []struct{ cause, exchange, want int }{{47, 103, 42}, {47, 102, 0}, {34, 103, 0}} {
-		if a := run(3, script.AttemptEnd, script.AttemptEndEvent(call, x.cause, x.exchange, true, time.Second)); a.Treat != x.want {
-			t.Errorf("cause %d of %d is read as %d", x.cause, x.exchange, a.Treat)
+		if a := run(3, script.AttemptEnd, script.AttemptEndEvent(call, x.cause, x.exchange, true, time.Second)); a.TreatAs != x.want {
+			t.Errorf("cause %d of %d is read as %d", x.cause, x.exchange, a.TreatAs)
 		}
 	}
 	second := with(func(c *script.Call) { c.Category = 12 })
--- a/scenario/phases_test.go
+++ b/scenario/phases_test.go
@@ -13,13 +13,13 @@
 	share := map[bool]float64{}
 	for _, early := range []bool{false, true} {
 		for seed := range uint64(4) {
-			d, err := Draw(30+seed, "only:slow")
+			d, err := Generate(30+seed, "only:slow")
 			if err != nil {
 				t.Fatal(err)
 			}
 			d = d.WithoutRinging()
-			d.Traffic.Load, d.Troubles[0].Size, d.Troubles[0].Part = 1.2, 2, 0.6
-			d.Fleet.Switch.EarlyACM, d.Fleet.Switch.AnswersFirst = early, false
+			d.Traffic.Load, d.Faults[0].Size, d.Faults[0].Fraction = 1.2, 2, 0.6
+			d.Network.Switch.EarlyACM, d.Network.Switch.AnswersFirst = early, false
 			share[early] += play(t, d).Report.ToAnswer.Share / 4
 		}
 	}
@@ -30,24 +30,24 @@
 }
 
 // Thin faults at every exchange, and numbers that ring: what they cost is near the share itself, and no rule breaks.
-func TestThinFaultsOfADay(t *testing.T) {
+func TestCallFaultsOfAScenario(t *testing.T) {
 	for _, tc := range []struct {
-		kind Kind
+		kind FaultKind
 		most float64
-	}{{ThinFull, 0.05}, {ThinSilent, 0.1}, {ThinReset, 0.05}} {
+	}{{CallFaultFull, 0.05}, {CallFaultSilent, 0.1}, {CallFaultReset, 0.05}} {
 		var share [2]float64
 		for i, size := range []float64{0.05, 0} {
-			d := QuietDay()
+			d := NoFaults()
 			for j := range d.Traffic.Classes {
 				d.Traffic.Classes[j].Ring, d.Traffic.Classes[j].Ringing = 15*time.Second, emulator.Ringing{Median: 3 * time.Second, Spread: 0.5, NoAnswer: 0.03}
 			}
 			if size > 0 {
-				d.Troubles = []Trouble{{Kind: tc.kind, At: 0, For: d.Length, Part: 1, Size: size}}
+				d.Faults = []Fault{{Kind: tc.kind, At: 0, For: d.Length, Fraction: 1, Size: size}}
 			}
 			res := play(t, d)
 			share[i] = res.Report.Whole.Share
-			if res.Report.Rang == 0 || res.Report.NoAnswer == 0 {
-				t.Errorf("%d rang, %d without an answer", res.Report.Rang, res.Report.NoAnswer)
+			if res.Report.Alerted == 0 || res.Report.NoAnswer == 0 {
+				t.Errorf("%d rang, %d without an answer", res.Report.Alerted, res.Report.NoAnswer)
 			}
 		}
 		t.Logf("%s at 5%%: %.3f, without %.3f", tc.kind, share[0], share[1])
@@ -59,8 +59,8 @@
 
 // One large controller beside small ones carries its calls as they do.
 func TestOneBigController(t *testing.T) {
-	d := QuietDay()
-	d.Fleet.Big = 0.6
+	d := NoFaults()
+	d.Network.BigExchange = 0.6
 	p := d.plan()
 	if s := p.streams[0]; s < 0.59 || s > 0.61 {
 		t.Fatalf("it offers %.2f of all calls", s)
--- a/scenario/reset_test.go
+++ b/scenario/reset_test.go
@@ -12,10 +12,10 @@
 )
 
 // small is a day of three exchanges with so few calls that each message of a call has its place.
-func small() *Day {
+func small() *Scenario {
 	d := Default()
 	d.Name, d.Length, d.Seed = "small", 12*time.Second, 3
-	d.Fleet.Exchanges, d.Fleet.Regions, d.Fleet.Unlinked = 3, []string{"seoul"}, 0
+	d.Network.Exchanges, d.Network.Regions, d.Network.Unlinked = 3, []string{"seoul"}, 0
 	d.Traffic.Planned, d.Traffic.Load, d.Traffic.Swing = 6, 1, 0
 	return &d
 }
@@ -24,7 +24,7 @@
 // is handed on and after it, again and again through a day: the users' test, judged from the traffic.
 func TestResetAtEveryMessage(t *testing.T) {
 	types := []isup.Type{isup.IAM, isup.ACM, isup.ANM, isup.REL, isup.RLC}
-	for _, kind := range []record.Kind{record.ClientLink, record.FarLink, record.OwnLink} {
+	for _, kind := range []record.LinkKind{record.ClientLink, record.FarLink, record.OwnLink} {
 		for _, typ := range types {
 			for _, in := range []bool{true, false} {
 				for _, before := range []bool{true, false} {
@@ -33,7 +33,7 @@
 						resets, seen := 0, 0
 						d := small()
 						res := play(t, d, func(o *Options) {
-							o.Fault = func(k record.Kind, fromController bool, m *m3ua.Message, u *isup.Message) emulator.Fault {
+							o.FrameFault = func(k record.LinkKind, fromController bool, m *m3ua.Message, u *isup.Message) emulator.FrameFault {
 								if k != kind || fromController != in || u == nil || u.Type != typ {
 									return emulator.Pass
 								}
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -31,16 +31,16 @@
 	Dial   func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP on loopback
 	Listen func(addr string) (net.Listener, error)
 	Log    zerolog.Logger
-	Module func(policy.Config) (controller.Module, error) // nil: the module
+	Engine func(policy.Config) (controller.Engine, error) // nil: the module
 	// Slack is what the checker allows for the time between an act and its record: 0 where time is exact.
 	Slack time.Duration
-	// Margin is added to the guard that controllers keep, beyond that of the rule, for the same reason.
-	Margin time.Duration
+	// GuardMargin is added to the guard that controllers keep, beyond that of the rule, for the same reason.
+	GuardMargin time.Duration
 	// Hooks are scripts that every controller runs; with HooksOf, some run others.
 	Hooks   []hooks.Source
 	HooksOf func(exchange int) []hooks.Source
-	// Fault, if set, is asked about each frame on a stand-in's socket; u is nil where there is no ISUP message. One at a time.
-	Fault func(k record.Kind, fromController bool, m *m3ua.Message, u *isup.Message) emulator.Fault
+	// FrameFault, if set, is asked about each frame on a stand-in's socket; u is nil where there is no ISUP message. One at a time.
+	FrameFault func(k record.LinkKind, fromController bool, m *m3ua.Message, u *isup.Message) emulator.FrameFault
 	// Deadline of hooks; 0: as the settings' default.
 	Deadline time.Duration
 	// Watch, if set, is called about every second with the time of the day.
@@ -56,17 +56,17 @@
 	Report   check.Report                   `json:"report"`
 	Counters map[uint32]controller.Counters `json:"controllers"`
 	Clients  emulator.ClientCounts          `json:"clients"`
-	Record   record.Day                     `json:"-"`
+	Record   record.Recording               `json:"-"`
 	Spec     check.Spec                     `json:"-"`
 }
 
 // world is a day in play.
 type world struct {
-	day      *Day
+	day      *Scenario
 	plan     *plan
 	opt      Options
 	log      *record.Log
-	net      *emulator.Net
+	net      *emulator.Network
 	switches []*emulator.Switch
 	addrs    [][]string // of each switch: now first
 	daemons  []*daemon.Daemon
@@ -81,10 +81,10 @@
 }
 
 // Spec is what the checker of this day takes for right.
-func (d *Day) Spec(slack time.Duration) check.Spec {
+func (d *Scenario) Spec(slack time.Duration) check.Spec {
 	p := d.plan()
 	s := check.Spec{Guard: d.Rules.Guard, DrainGrace: d.Rules.DrainGrace, Slack: slack,
-		Cold: check.Cold{Share: d.Rules.Cold.Share, WarmUp: d.Rules.Cold.WarmUp, Multiple: d.Rules.Cold.Multiple, Span: d.Rules.Cold.Span},
+		ColdStart: check.ColdStart{Share: d.Rules.ColdStart.Share, WarmUp: d.Rules.ColdStart.WarmUp, Multiple: d.Rules.ColdStart.Multiple, Span: d.Rules.ColdStart.Span},
 		Exchange: func(number string) (uint32, bool) {
 			for _, x := range p.exchanges {
 				if strings.HasPrefix(number, x.prefix) {
@@ -101,21 +101,21 @@
 }
 
 // settings are those of one controller of the day.
-func (d *Day) settings(p *plan, self int, addrs [][]string, margin time.Duration) (*config.Config, error) {
+func (d *Scenario) settings(p *plan, self int, addrs [][]string, margin time.Duration) (*config.Config, error) {
 	c := config.Default()
 	c.Exchange, c.Listen, c.Seed = p.exchanges[self].pc, "127.0.0.1:0", d.Seed+uint64(self)
-	c.Guard, c.Repeat, c.MaxAttempts, c.OverQuotaWorth = d.Rules.Guard+margin, d.Fleet.Switch.Repeat, 4, 0.1
-	c.Cold = config.Cold{WarmUp: d.Rules.Cold.WarmUp, Share: d.Rules.Cold.Share, FallMultiple: d.Rules.Cold.Multiple, FallSpan: d.Rules.Cold.Span}
-	c.Timers = config.Timers{T1: 4 * time.Second, T5: 20 * time.Second, T7: 20 * time.Second, T9: 90 * time.Second, T16: 4 * time.Second, T28: 2 * time.Second, Hold: 8 * time.Second}
+	c.Guard, c.Repeat, c.MaxAttempts, c.OverQuotaWorth = d.Rules.Guard+margin, d.Network.Switch.Repeat, 4, 0.1
+	c.ColdStart = config.ColdStart{WarmUp: d.Rules.ColdStart.WarmUp, Share: d.Rules.ColdStart.Share, CrashMultiple: d.Rules.ColdStart.Multiple, CrashSpan: d.Rules.ColdStart.Span}
+	c.Timers = config.Timers{T1: 4 * time.Second, T5: 20 * time.Second, T7: 20 * time.Second, T9: 90 * time.Second, T16: 4 * time.Second, T28: 2 * time.Second, SignallingHold: 8 * time.Second}
 	c.Association.Ack, c.Association.Beat, c.Association.BeatLimit = time.Second, time.Second, 3*time.Second
 	c.Association.BackoffMax = time.Second
 	for _, x := range d.Traffic.Classes {
 		c.Classes = append(c.Classes, config.Class{Name: x.Name, Aim: x.Aim, Patience: x.Patience, Ring: x.Ring, Worth: x.Worth, LateWorth: x.LateWorth, Categories: []int{x.Category}})
 	}
-	if d.Traffic.Door > 0 {
-		c.Limits.All.Rate = d.Traffic.Door * d.Traffic.Planned * p.streams[self]
+	if d.Traffic.AdmissionLimit > 0 {
+		c.Limits.All.Rate = d.Traffic.AdmissionLimit * d.Traffic.Planned * p.streams[self]
 	}
-	if d.Traffic.ClientDoor > 0 {
+	if d.Traffic.ClientAdmissionLimit > 0 {
 		most, all := 1.0, 1.0
 		if len(d.Traffic.Tenants) > 0 {
 			most, all = 0, 0
@@ -123,7 +123,7 @@
 				most, all = max(most, x.Share), all+x.Share
 			}
 		}
-		c.Limits.Client.Rate = d.Traffic.ClientDoor * d.Traffic.Planned * p.streams[self] * most / all
+		c.Limits.Client.Rate = d.Traffic.ClientAdmissionLimit * d.Traffic.Planned * p.streams[self] * most / all
 		c.Limits.Client.Burst = max(5, c.Limits.Client.Rate)
 	}
 	for t, x := range d.Traffic.Tenants {
@@ -131,7 +131,7 @@
 		c.Clients = append(c.Clients, config.Client{Name: x.Name, ASP: clientPC(self, t), Tenant: x.Name})
 	}
 	for i, x := range p.exchanges {
-		e := config.Exchange{PointCode: x.pc, Name: fmt.Sprintf("%s-%d", d.Fleet.Regions[x.region], i+1), Switch: slices.Clone(addrs[i]), Prefixes: []string{x.prefix}}
+		e := config.Exchange{PointCode: x.pc, Name: fmt.Sprintf("%s-%d", d.Network.Regions[x.region], i+1), Switch: slices.Clone(addrs[i]), Prefixes: []string{x.prefix}}
 		if i != self {
 			e.Circuits = p.exchanges[self].circuits[x.pc]
 		}
@@ -142,8 +142,8 @@
 
 func clientPC(exchange, tenant int) uint32 { return uint32(9000 + 10*exchange + tenant) }
 
-// Play plays a day and judges it. It returns when everything that it started has ended.
-func Play(ctx context.Context, d *Day, opt Options) (res Result, err error) {
+// Run plays a day and judges it. It returns when everything that it started has ended.
+func Run(ctx context.Context, d *Scenario, opt Options) (res Result, err error) {
 	if opt.Dial == nil {
 		var nd net.Dialer
 		opt.Dial = func(ctx context.Context, addr string) (net.Conn, error) { return nd.DialContext(ctx, "tcp", addr) }
@@ -154,9 +154,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w := &world{day: d, plan: d.plan(), opt: opt, log: record.New(), listRng: d.stream(forList)}
-	w.net = &emulator.Net{Dial: opt.Dial, Listen: opt.Listen, Log: w.log}
-	if opt.Fault != nil {
-		w.net.Faults = w.fault
+	w.net = &emulator.Network{Dial: opt.Dial, Listen: opt.Listen, Log: w.log}
+	if opt.FrameFault != nil {
+		w.net.FrameFaults = w.fault
 	}
 	defer func() {
 		cancel()
@@ -194,13 +194,13 @@
 	}
 	for _, row := range w.clients {
 		for _, c := range row {
-			c.Quiet()
+			c.StopRedials()
 		}
 	}
 	if !sleep(ctx, settle) {
 		return res, ctx.Err()
 	}
-	res = Result{Name: d.Name, Seed: d.Seed, Record: w.log.Day(), Spec: d.Spec(opt.Slack), Counters: map[uint32]controller.Counters{}}
+	res = Result{Name: d.Name, Seed: d.Seed, Record: w.log.Finish(), Spec: d.Spec(opt.Slack), Counters: map[uint32]controller.Counters{}}
 	for i, x := range w.daemons {
 		res.Counters[w.plan.exchanges[i].pc] = x.Counters(ctx)
 	}
@@ -218,12 +218,12 @@
 			res.Clients.NotConnected += t.NotConnected
 		}
 	}
-	res.Report = check.Judge(res.Record, res.Spec)
+	res.Report = check.Evaluate(res.Record, res.Spec)
 	return res, nil
 }
 
 // fault asks the script of faults about a frame, once the day has begun.
-func (w *world) fault(k record.Kind, fromController bool, frame []byte) emulator.Fault {
+func (w *world) fault(k record.LinkKind, fromController bool, frame []byte) emulator.FrameFault {
 	w.faultMu.Lock()
 	defer w.faultMu.Unlock()
 	var m m3ua.Message
@@ -232,9 +232,9 @@
 		return emulator.Pass
 	}
 	if m.Kind != m3ua.DATA || isup.Decode(m.Data.User, &u) != nil {
-		return w.opt.Fault(k, fromController, &m, nil)
+		return w.opt.FrameFault(k, fromController, &m, nil)
 	}
-	return w.opt.Fault(k, fromController, &m, &u)
+	return w.opt.FrameFault(k, fromController, &m, &u)
 }
 
 // sleep waits; false: ctx has ended.
@@ -252,7 +252,7 @@
 // build starts switches, controllers and clients.
 func (w *world) build(ctx context.Context) error {
 	d, p := w.day, w.plan
-	f := d.Fleet.Switch
+	f := d.Network.Switch
 	regions := map[uint32]int{}
 	for _, x := range p.exchanges {
 		regions[x.pc] = x.region
@@ -262,9 +262,9 @@
 		case a == b:
 			return 0
 		case regions[a] == regions[b]:
-			return d.Fleet.Same
+			return d.Network.SameRegionDelay
 		}
-		return d.Fleet.Cross
+		return d.Network.CrossRegionDelay
 	})
 	hold, ringing := time.Duration(0), map[isup.Category]emulator.Ringing{}
 	for _, c := range d.Traffic.Classes {
@@ -276,8 +276,8 @@
 	for i, x := range p.exchanges {
 		s := emulator.NewSwitch(w.net, emulator.SwitchConfig{PC: x.pc, Prefixes: []string{x.prefix}, Circuits: x.circuits, Seed: d.stream(forSwitches).Uint64() + uint64(i),
 			Rate: x.rate, FollowWork: f.FollowWork, RejectWork: f.RejectWork, FullAfter: f.FullAfter, AnswersFirst: f.AnswersFirst,
-			Repeat: f.Repeat, RepeatWork: f.RepeatWork, DropGivenUp: f.DropGivenUp, Ring: f.Ring, Ringing: ringing, EarlyACM: f.EarlyACM, HangUp: f.HangUp, Hold: hold,
-			ColdShare: d.Rules.Cold.Share, WarmUp: d.Rules.Cold.WarmUp, FallMultiple: d.Rules.Cold.Multiple, FallSpan: d.Rules.Cold.Span})
+			Repeat: f.Repeat, RepeatWork: f.RepeatWork, DropAbandoned: f.DropAbandoned, Ring: f.Ring, Ringing: ringing, EarlyACM: f.EarlyACM, HangUp: f.HangUp, Hold: hold,
+			ColdShare: d.Rules.ColdStart.Share, WarmUp: d.Rules.ColdStart.WarmUp, CrashMultiple: d.Rules.ColdStart.Multiple, CrashSpan: d.Rules.ColdStart.Span})
 		w.switches = append(w.switches, s)
 		first, err := s.Start("127.0.0.1:0", false)
 		if err != nil {
@@ -291,7 +291,7 @@
 		w.addrs = append(w.addrs, []string{first, l.Addr().String()})
 	}
 	for i, x := range p.exchanges {
-		cfg, err := d.settings(p, i, w.addrs, w.opt.Margin)
+		cfg, err := d.settings(p, i, w.addrs, w.opt.GuardMargin)
 		if err != nil {
 			return err
 		}
@@ -299,7 +299,7 @@
 			cfg.Hooks.Deadline = w.opt.Deadline
 		}
 		dm, err := daemon.New(daemon.Options{Config: cfg, Log: w.opt.Log.With().Uint32("controller", x.pc).Logger(),
-			Dial: w.opt.Dial, Listen: w.opt.Listen, Module: w.opt.Module})
+			Dial: w.opt.Dial, Listen: w.opt.Listen, Engine: w.opt.Engine})
 		if err != nil {
 			return err
 		}
@@ -387,7 +387,7 @@
 		}
 		w.own(func() {
 			if sleep(ctx, late) {
-				s.Tell(k, w.plan.exchanges[i].pc)
+				s.SendStatus(k, w.plan.exchanges[i].pc)
 			}
 		})
 	}
@@ -395,8 +395,8 @@
 
 // troubles starts what goes wrong.
 func (w *world) troubles(ctx context.Context) {
-	var lates []Trouble
-	for _, x := range w.day.Troubles {
+	var lates []Fault
+	for _, x := range w.day.Faults {
 		if x.Kind == ListLate {
 			lates = append(lates, x)
 		}
@@ -409,21 +409,21 @@
 		}
 		return d
 	}
-	for k, x := range w.day.Troubles {
+	for k, x := range w.day.Faults {
 		rng := rand.New(rand.NewPCG(w.day.Seed, uint64(forTroubles*1000+k)))
 		struck := w.day.strike(w.plan, x, rng)
 		w.own(func() {
 			if !sleep(ctx, x.At) {
 				return
 			}
-			w.log.Mark(record.Mark{Kind: record.Trouble, Name: string(x.Kind), Span: x.For})
+			w.log.Event(record.Event{Kind: record.Fault, Name: string(x.Kind), Span: x.For})
 			w.trouble(ctx, x, struck, rng)
 		})
 	}
 }
 
 // trouble plays one trouble on the exchanges that it strikes.
-func (w *world) trouble(ctx context.Context, x Trouble, struck []int, rng *rand.Rand) {
+func (w *world) trouble(ctx context.Context, x Fault, struck []int, rng *rand.Rand) {
 	each := func(f func(i int)) {
 		for _, i := range struck {
 			f(i)
@@ -470,17 +470,17 @@
 		each(func(i int) { w.switches[i].Hang(true) })
 		sleep(ctx, x.For)
 		each(func(i int) { w.switches[i].Hang(false) })
-	case ThinFull, ThinSilent, ThinReset:
-		kind := map[Kind]emulator.Thin{ThinFull: emulator.ThinFull, ThinSilent: emulator.ThinSilent, ThinReset: emulator.ThinReset}[x.Kind]
-		each(func(i int) { w.switches[i].Thin(kind, x.Size) })
+	case CallFaultFull, CallFaultSilent, CallFaultReset:
+		kind := map[FaultKind]emulator.CallFault{CallFaultFull: emulator.CallFaultFull, CallFaultSilent: emulator.CallFaultSilent, CallFaultReset: emulator.CallFaultReset}[x.Kind]
+		each(func(i int) { w.switches[i].SetCallFault(kind, x.Size) })
 		sleep(ctx, x.For)
-		each(func(i int) { w.switches[i].Thin(kind, 0) })
+		each(func(i int) { w.switches[i].SetCallFault(kind, 0) })
 	case Slow:
 		each(func(i int) { w.switches[i].Slow(x.Size) })
 		sleep(ctx, x.For)
 		each(func(i int) { w.switches[i].Slow(1) })
 	case Ageing:
-		each(func(i int) { w.switches[i].Age(x.For, x.Size) })
+		each(func(i int) { w.switches[i].Degrade(x.For, x.Size) })
 		if !sleep(ctx, x.For+300*time.Millisecond) {
 			return
 		}
@@ -512,13 +512,13 @@
 	case ControllerStall:
 		each(func(i int) {
 			// The mark covers the instant until the stop takes hold and the work that has gathered meanwhile.
-			w.log.Mark(record.Mark{Kind: record.Held, PC: w.plan.exchanges[i].pc, Span: x.For + 500*time.Millisecond})
+			w.log.Event(record.Event{Kind: record.Stalled, PC: w.plan.exchanges[i].pc, Span: x.For + 500*time.Millisecond})
 			w.own(func() { w.daemons[i].Stall(ctx, x.For) })
 		})
 	case MassCalling:
 		number := w.day.hotNumber(w.plan)
 		for _, s := range w.switches {
-			s.Busy(number, hotLines)
+			s.LimitLines(number, hotLines)
 		}
 	case ListFlap:
 		for end := time.Now().Add(x.For); time.Now().Before(end); {
--- a/scenario/scenario.go
+++ b/scenario/scenario.go
@@ -16,57 +16,57 @@
 	"github.com/umbergauge/umbergauge/isup"
 )
 
-// Day is a script: who is there, who calls whom, and what goes wrong. docs/operations/days.md explains each key.
-type Day struct {
-	Name     string        `yaml:"name"`
-	Seed     uint64        `yaml:"seed"`
-	Length   time.Duration `yaml:"length"`
-	Fleet    Fleet         `yaml:"fleet"`
-	Traffic  Traffic       `yaml:"traffic"`
-	Rules    Rules         `yaml:"rules"`
-	Troubles []Trouble     `yaml:"troubles,omitempty"`
+// Scenario is a script: who is there, who calls whom, and what goes wrong. docs/operations/days.md explains each key.
+type Scenario struct {
+	Name    string        `yaml:"name"`
+	Seed    uint64        `yaml:"seed"`
+	Length  time.Duration `yaml:"length"`
+	Network Network       `yaml:"fleet"`
+	Traffic Traffic       `yaml:"traffic"`
+	Rules   Rules         `yaml:"rules"`
+	Faults  []Fault       `yaml:"troubles,omitempty"`
 }
 
-// Fleet is the exchanges and what lies between them.
-type Fleet struct {
-	Exchanges int           `yaml:"exchanges"`
-	Regions   []string      `yaml:"regions"`
-	Same      time.Duration `yaml:"same_region"`   // one way
-	Cross     time.Duration `yaml:"cross_region"`  // one way
-	Big       float64       `yaml:"big,omitempty"` // share of all calls that the first exchange offers; 0: about as many as the others
-	Spare     float64       `yaml:"spare"`         // circuits beyond the plan, in square roots of it
-	Missed    float64       `yaml:"missed"`        // how far the plan missed the traffic, as a coefficient of variation
-	Unlinked  float64       `yaml:"unlinked"`      // share of pairs without a group
-	Switch    Switch        `yaml:"switch"`
+// Network is the exchanges and what lies between them.
+type Network struct {
+	Exchanges        int           `yaml:"exchanges"`
+	Regions          []string      `yaml:"regions"`
+	SameRegionDelay  time.Duration `yaml:"same_region"`   // one way
+	CrossRegionDelay time.Duration `yaml:"cross_region"`  // one way
+	BigExchange      float64       `yaml:"big,omitempty"` // share of all calls that the first exchange offers; 0: about as many as the others
+	SpareCircuits    float64       `yaml:"spare"`         // circuits beyond the plan, in square roots of it
+	PlanError        float64       `yaml:"missed"`        // how far the plan missed the traffic, as a coefficient of variation
+	Unlinked         float64       `yaml:"unlinked"`      // share of pairs without a group
+	Switch           Switch        `yaml:"switch"`
 }
 
 // Switch is each exchange's processor.
 type Switch struct {
-	Use          float64       `yaml:"use"` // busy share at the planned load, all calls direct
-	FollowWork   float64       `yaml:"follow_work"`
-	RejectWork   float64       `yaml:"reject_work"`
-	FullAfter    time.Duration `yaml:"full_after"`
-	AnswersFirst bool          `yaml:"answers_first"`
-	Repeat       time.Duration `yaml:"repeat"`
-	RepeatWork   float64       `yaml:"repeat_work"`
-	DropGivenUp  bool          `yaml:"drop_given_up"`
-	Ring         time.Duration `yaml:"ring"`
-	HangUp       float64       `yaml:"hang_up"`
-	EarlyACM     bool          `yaml:"early_acm,omitempty"`
+	Utilisation   float64       `yaml:"use"` // busy share at the planned load, all calls direct
+	FollowWork    float64       `yaml:"follow_work"`
+	RejectWork    float64       `yaml:"reject_work"`
+	FullAfter     time.Duration `yaml:"full_after"`
+	AnswersFirst  bool          `yaml:"answers_first"`
+	Repeat        time.Duration `yaml:"repeat"`
+	RepeatWork    float64       `yaml:"repeat_work"`
+	DropAbandoned bool          `yaml:"drop_given_up"`
+	Ring          time.Duration `yaml:"ring"`
+	HangUp        float64       `yaml:"hang_up"`
+	EarlyACM      bool          `yaml:"early_acm,omitempty"`
 }
 
 // Traffic is what callers want.
 type Traffic struct {
-	Planned     float64       `yaml:"planned"` // calls a second that groups and processors were planned for
-	Load        float64       `yaml:"load"`    // offered, as a share of that
-	Swing       float64       `yaml:"swing"`   // a wave of this height
-	Drift       time.Duration `yaml:"drift"`   // where calls go shifts so often; 0: never
-	Redials     int           `yaml:"redials"`
-	RedialAfter time.Duration `yaml:"redial_after"`
-	Classes     []Class       `yaml:"classes"`
-	Tenants     []Tenant      `yaml:"tenants,omitempty"`
-	Door        float64       `yaml:"door,omitempty"`        // limit of all calls at a controller, as a share of its planned ones; 0: none
-	ClientDoor  float64       `yaml:"client_door,omitempty"` // limit of each client, as a share of the largest tenant's planned calls; 0: none
+	Planned              float64       `yaml:"planned"` // calls a second that groups and processors were planned for
+	Load                 float64       `yaml:"load"`    // offered, as a share of that
+	Swing                float64       `yaml:"swing"`   // a wave of this height
+	Drift                time.Duration `yaml:"drift"`   // where calls go shifts so often; 0: never
+	Redials              int           `yaml:"redials"`
+	RedialAfter          time.Duration `yaml:"redial_after"`
+	Classes              []Class       `yaml:"classes"`
+	Tenants              []Tenant      `yaml:"tenants,omitempty"`
+	AdmissionLimit       float64       `yaml:"door,omitempty"`        // limit of all calls at a controller, as a share of its planned ones; 0: none
+	ClientAdmissionLimit float64       `yaml:"client_door,omitempty"` // limit of each client, as a share of the largest tenant's planned calls; 0: none
 }
 
 // Class is one class of calls.
@@ -94,66 +94,66 @@
 type Rules struct {
 	Guard      time.Duration `yaml:"guard"`
 	DrainGrace time.Duration `yaml:"drain_grace"`
-	Cold       Cold          `yaml:"cold"`
+	ColdStart  ColdStart     `yaml:"cold"`
 }
 
-// Cold is when a fresh switch is pushed over.
-type Cold struct {
+// ColdStart is when a fresh switch is pushed over.
+type ColdStart struct {
 	Share    float64       `yaml:"share"`
 	WarmUp   time.Duration `yaml:"warm_up"`
 	Multiple float64       `yaml:"multiple"`
 	Span     time.Duration `yaml:"span"`
 }
 
-// Kind is a kind of trouble.
-type Kind string
+// FaultKind is a kind of trouble.
+type FaultKind string
 
 // The kinds.
 const (
-	LoadJump        Kind = "load_jump"         // size: times the load
-	Crash           Kind = "crash"             // comes back cold after its time
-	Replace         Kind = "replace"           // drains, stops, and another machine takes its place, cold
-	Hang            Kind = "hang"              // takes set-ups, answers none
-	Slow            Kind = "slow"              // size: times slower
-	Ageing          Kind = "ageing"            // slower and slower up to size times, then dies and comes back cold
-	CircuitsLost    Kind = "circuits_lost"     // size: share of circuits lost between a region and the others
-	RegionCut       Kind = "region_cut"        // a region is cut off from the others
-	CallsCut        Kind = "calls_cut"         // size: share of standing calls cut at once
-	ControllerStall Kind = "controller_stall"  // controllers stand still, as stopped processes
-	MassCalling     Kind = "mass_calling"      // size: share of all calls to one number with few lines
-	Impatient       Kind = "impatient"         // callers of one tenant give up after size of their time and redial at once
-	ListLate        Kind = "list_late"         // size: seconds that the list is late
-	ListFlap        Kind = "list_flap"         // the list says that healthy exchanges are gone, and back
-	AssocReset      Kind = "association_reset" // connections of switches break
-	ClientFlood     Kind = "client_flood"      // the first tenant's clients offer size times their calls
-	RegionRestart   Kind = "region_restart"    // all switches of a region restart cold
-	ThinFull        Kind = "thin_full"         // size: share of set-ups turned away as full by switches that are well
-	ThinSilent      Kind = "thin_silent"       // size: share of set-ups that such switches never answer
-	ThinReset       Kind = "thin_reset"        // size: share of set-ups whose circuit such switches reset
+	LoadJump        FaultKind = "load_jump"         // size: times the load
+	Crash           FaultKind = "crash"             // comes back cold after its time
+	Replace         FaultKind = "replace"           // drains, stops, and another machine takes its place, cold
+	Hang            FaultKind = "hang"              // takes set-ups, answers none
+	Slow            FaultKind = "slow"              // size: times slower
+	Ageing          FaultKind = "ageing"            // slower and slower up to size times, then dies and comes back cold
+	CircuitsLost    FaultKind = "circuits_lost"     // size: share of circuits lost between a region and the others
+	RegionCut       FaultKind = "region_cut"        // a region is cut off from the others
+	CallsCut        FaultKind = "calls_cut"         // size: share of standing calls cut at once
+	ControllerStall FaultKind = "controller_stall"  // controllers stand still, as stopped processes
+	MassCalling     FaultKind = "mass_calling"      // size: share of all calls to one number with few lines
+	Impatient       FaultKind = "impatient"         // callers of one tenant give up after size of their time and redial at once
+	ListLate        FaultKind = "list_late"         // size: seconds that the list is late
+	ListFlap        FaultKind = "list_flap"         // the list says that healthy exchanges are gone, and back
+	AssocReset      FaultKind = "association_reset" // connections of switches break
+	ClientFlood     FaultKind = "client_flood"      // the first tenant's clients offer size times their calls
+	RegionRestart   FaultKind = "region_restart"    // all switches of a region restart cold
+	CallFaultFull   FaultKind = "thin_full"         // size: share of set-ups turned away as full by switches that are well
+	CallFaultSilent FaultKind = "thin_silent"       // size: share of set-ups that such switches never answer
+	CallFaultReset  FaultKind = "thin_reset"        // size: share of set-ups whose circuit such switches reset
 )
 
 // Kinds are all kinds of trouble.
-var Kinds = []Kind{LoadJump, Crash, Replace, Hang, Slow, Ageing, CircuitsLost, RegionCut, CallsCut, ControllerStall, MassCalling,
-	Impatient, ClientFlood, ListLate, ListFlap, AssocReset, RegionRestart, ThinFull, ThinSilent, ThinReset}
+var FaultKinds = []FaultKind{LoadJump, Crash, Replace, Hang, Slow, Ageing, CircuitsLost, RegionCut, CallsCut, ControllerStall, MassCalling,
+	Impatient, ClientFlood, ListLate, ListFlap, AssocReset, RegionRestart, CallFaultFull, CallFaultSilent, CallFaultReset}
 
-// Trouble is one thing that goes wrong.
-type Trouble struct {
-	Kind   Kind          `yaml:"kind"`
-	At     time.Duration `yaml:"at"`
-	For    time.Duration `yaml:"for"`
-	Part   float64       `yaml:"part,omitempty"` // share of the exchanges that it strikes
-	Region string        `yaml:"region,omitempty"`
-	Size   float64       `yaml:"size,omitempty"`
+// Fault is one thing that goes wrong.
+type Fault struct {
+	Kind     FaultKind     `yaml:"kind"`
+	At       time.Duration `yaml:"at"`
+	For      time.Duration `yaml:"for"`
+	Fraction float64       `yaml:"part,omitempty"` // share of the exchanges that it strikes
+	Region   string        `yaml:"region,omitempty"`
+	Size     float64       `yaml:"size,omitempty"`
 }
 
 // Default has the values of keys that a script may leave out.
-func Default() Day {
-	return Day{
+func Default() Scenario {
+	return Scenario{
 		Seed: 1, Length: 30 * time.Second,
-		Fleet: Fleet{Exchanges: 6, Regions: []string{"seoul", "daejeon", "busan"}, Same: 3 * time.Millisecond, Cross: 12 * time.Millisecond,
-			Spare: 1.5, Missed: 0.35, Unlinked: 0.15,
-			Switch: Switch{Use: 0.75, FollowWork: 0.3, RejectWork: 0.15, FullAfter: 2500 * time.Millisecond, Repeat: 400 * time.Millisecond,
-				RepeatWork: 0.3, DropGivenUp: true, HangUp: 0.3}},
+		Network: Network{Exchanges: 6, Regions: []string{"seoul", "daejeon", "busan"}, SameRegionDelay: 3 * time.Millisecond, CrossRegionDelay: 12 * time.Millisecond,
+			SpareCircuits: 1.5, PlanError: 0.35, Unlinked: 0.15,
+			Switch: Switch{Utilisation: 0.75, FollowWork: 0.3, RejectWork: 0.15, FullAfter: 2500 * time.Millisecond, Repeat: 400 * time.Millisecond,
+				RepeatWork: 0.3, DropAbandoned: true, HangUp: 0.3}},
 		Traffic: Traffic{Planned: 60, Load: 0.85, Swing: 0.1, Drift: 12 * time.Second, Redials: 2, RedialAfter: 900 * time.Millisecond,
 			Classes: []Class{
 				{Name: "map-tile", Share: 0.94, Category: 10, Aim: 1500 * time.Millisecond, Patience: 3 * time.Second, GiveUp: 9 * time.Second,
@@ -163,12 +163,12 @@
 				{Name: "mass", Category: 12, Aim: 1500 * time.Millisecond, Patience: 3 * time.Second, GiveUp: 9 * time.Second,
 					Worth: 0.1, LateWorth: 0.25, Hold: 3 * time.Second},
 			}},
-		Rules: Rules{Guard: 200 * time.Millisecond, DrainGrace: time.Second, Cold: Cold{0.37, 15 * time.Second, 2, 3 * time.Second}},
+		Rules: Rules{Guard: 200 * time.Millisecond, DrainGrace: time.Second, ColdStart: ColdStart{0.37, 15 * time.Second, 2, 3 * time.Second}},
 	}
 }
 
 // Load reads and checks a script. The error is config.Faults, or that of reading the file.
-func Load(path string) (*Day, error) {
+func Load(path string) (*Scenario, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 }
 
 // Parse reads and checks a script; name stands in its errors.
-func Parse(name string, b []byte) (*Day, error) {
+func Parse(name string, b []byte) (*Scenario, error) {
 	d := Default()
 	if err := config.Decode(name, b, &d); err != nil {
 		return nil, err
@@ -187,7 +187,7 @@
 	return &d, v.Err()
 }
 
-func (d *Day) check(v *config.Checker) {
+func (d *Scenario) check(v *config.Checker) {
 	span := func(key string, x, from, to time.Duration) {
 		v.Must(x >= from && x <= to, key, "%v; %v to %v can be", x, from, to)
 	}
@@ -196,20 +196,20 @@
 		v.Must(x >= low && x <= high, key, "%v; %v to %v can be", x, low, high)
 	}
 	span("length", d.Length, time.Second, time.Hour)
-	f := d.Fleet
+	f := d.Network
 	v.Must(f.Exchanges >= 2 && f.Exchanges <= 99, "fleet.exchanges", "%d; 2 to 99 can be", f.Exchanges)
 	v.Must(len(f.Regions) >= 1 && len(f.Regions) <= f.Exchanges, "fleet.regions", "%d regions for %d exchanges", len(f.Regions), f.Exchanges)
-	span("fleet.same_region", f.Same, 0, time.Second)
-	span("fleet.cross_region", f.Cross, 0, time.Second)
-	above("fleet.spare", f.Spare, 0, 100)
-	above("fleet.missed", f.Missed, 0, 2)
+	span("fleet.same_region", f.SameRegionDelay, 0, time.Second)
+	span("fleet.cross_region", f.CrossRegionDelay, 0, time.Second)
+	above("fleet.spare", f.SpareCircuits, 0, 100)
+	above("fleet.missed", f.PlanError, 0, 2)
 	above("fleet.unlinked", f.Unlinked, 0, 0.6)
-	above("fleet.switch.use", f.Switch.Use, 0.01, 1)
+	above("fleet.switch.use", f.Switch.Utilisation, 0.01, 1)
 	above("fleet.switch.follow_work", f.Switch.FollowWork, 0, 10)
 	above("fleet.switch.reject_work", f.Switch.RejectWork, 0, 10)
 	above("fleet.switch.repeat_work", f.Switch.RepeatWork, 0, 10)
 	share("fleet.switch.hang_up", f.Switch.HangUp)
-	above("fleet.big", f.Big, 0, 0.95)
+	above("fleet.big", f.BigExchange, 0, 0.95)
 	t := d.Traffic
 	above("traffic.planned", t.Planned, 0.1, 100000)
 	above("traffic.load", t.Load, 0, 10)
@@ -240,19 +240,19 @@
 	v.Must(sum > 0, "traffic.classes", "the shares add up to nothing")
 	span("rules.guard", d.Rules.Guard, 0, time.Minute)
 	span("rules.drain_grace", d.Rules.DrainGrace, 0, time.Minute)
-	above("rules.cold.share", d.Rules.Cold.Share, 0.01, 1)
-	above("rules.cold.multiple", d.Rules.Cold.Multiple, 1, 100)
-	for i, x := range d.Troubles {
+	above("rules.cold.share", d.Rules.ColdStart.Share, 0.01, 1)
+	above("rules.cold.multiple", d.Rules.ColdStart.Multiple, 1, 100)
+	for i, x := range d.Faults {
 		key := func(k string) string { return fmt.Sprintf("troubles[%d].%s", i, k) }
-		v.Must(slices.Contains(Kinds, x.Kind), key("kind"), "%q; it can be one of %v", x.Kind, Kinds)
+		v.Must(slices.Contains(FaultKinds, x.Kind), key("kind"), "%q; it can be one of %v", x.Kind, FaultKinds)
 		span(key("at"), x.At, 0, d.Length)
 		span(key("for"), x.For, 0, time.Hour)
-		share(key("part"), x.Part)
+		share(key("part"), x.Fraction)
 		v.Must(x.Region == "" || slices.Contains(f.Regions, x.Region), key("region"), "there is no region %q", x.Region)
 		switch x.Kind {
 		case LoadJump, Slow, Ageing, ClientFlood:
 			above(key("size"), x.Size, 1, 100)
-		case CircuitsLost, CallsCut, MassCalling, Impatient, ThinFull, ThinSilent, ThinReset:
+		case CircuitsLost, CallsCut, MassCalling, Impatient, CallFaultFull, CallFaultSilent, CallFaultReset:
 			above(key("size"), x.Size, 0.01, 1)
 		case ListLate:
 			above(key("size"), x.Size, 0, 60)
@@ -277,7 +277,7 @@
 }
 
 // stream makes a source of chance of its own for each purpose, so that a change in one leaves the others.
-func (d *Day) stream(purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Seed, purpose)) }
+func (d *Scenario) stream(purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Seed, purpose)) }
 
 const (
 	forPlan = iota + 1
@@ -287,9 +287,9 @@
 	forSwitches
 )
 
-func (d *Day) plan() *plan {
+func (d *Scenario) plan() *plan {
 	rng := d.stream(forPlan)
-	f, t := d.Fleet, d.Traffic
+	f, t := d.Network, d.Traffic
 	n := f.Exchanges
 	p := &plan{streams: make([]float64, n), matrix: make([][]float64, n)}
 	logNormal := func(cv float64) float64 {
@@ -304,9 +304,9 @@
 	for _, s := range p.streams {
 		total += s
 	}
-	if f.Big > 0 { // one large controller beside small ones
+	if f.BigExchange > 0 { // one large controller beside small ones
 		others := total - p.streams[0]
-		p.streams[0] = f.Big / (1 - f.Big) * others
+		p.streams[0] = f.BigExchange / (1 - f.BigExchange) * others
 		total = others + p.streams[0]
 	}
 	hold, shares := 0.0, 0.0
@@ -346,18 +346,18 @@
 			in += t.Planned * p.streams[j] * p.matrix[j][i]
 			if j > i {
 				e := hold * t.Planned * (p.streams[i]*p.matrix[i][j] + p.streams[j]*p.matrix[j][i])
-				links = append(links, link{i, j, e * logNormal(f.Missed)})
+				links = append(links, link{i, j, e * logNormal(f.PlanError)})
 			}
 		}
 		// A set-up and, a little later, its answer and its release.
-		p.exchanges[i].rate = in * (1 + 2*f.Switch.FollowWork) / f.Switch.Use
+		p.exchanges[i].rate = in * (1 + 2*f.Switch.FollowWork) / f.Switch.Utilisation
 	}
 	slices.SortFunc(links, func(a, b link) int { return cmp.Compare(a.planed, b.planed) })
 	for k, l := range links {
 		if k < int(f.Unlinked*float64(len(links))) && n > 3 { // mostly the thin ones; two ends of three must have a way round
 			continue
 		}
-		size := max(2, int(math.Ceil(l.planed+f.Spare*math.Sqrt(l.planed))))
+		size := max(2, int(math.Ceil(l.planed+f.SpareCircuits*math.Sqrt(l.planed))))
 		size = min(size, isup.MaxCIC)
 		p.exchanges[l.i].circuits[p.exchanges[l.j].pc] = size
 		p.exchanges[l.j].circuits[p.exchanges[l.i].pc] = size
@@ -366,10 +366,10 @@
 }
 
 // strike draws the exchanges that a trouble strikes.
-func (d *Day) strike(p *plan, x Trouble, rng *rand.Rand) []int {
+func (d *Scenario) strike(p *plan, x Fault, rng *rand.Rand) []int {
 	var all []int
 	for i, e := range p.exchanges {
-		if x.Region == "" || d.Fleet.Regions[e.region] == x.Region {
+		if x.Region == "" || d.Network.Regions[e.region] == x.Region {
 			all = append(all, i)
 		}
 	}
@@ -381,7 +381,7 @@
 		return slices.DeleteFunc(all, func(i int) bool { return p.exchanges[i].region != r })
 	}
 	rng.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
-	n := int(math.Round(x.Part * float64(len(all))))
+	n := int(math.Round(x.Fraction * float64(len(all))))
 	all = all[:min(len(all), max(1, n))]
 	slices.Sort(all)
 	return all
@@ -413,7 +413,7 @@
 }
 
 // arrivals draws all calls of the day.
-func (d *Day) arrivals(p *plan) []arrival {
+func (d *Scenario) arrivals(p *plan) []arrival {
 	rng := d.stream(forArrivals)
 	t := d.Traffic
 	pick := func(weights []float64) int {
@@ -457,7 +457,7 @@
 	for at := time.Duration(0); ; {
 		rate := t.Planned * t.Load * (1 + t.Swing*math.Sin(phase+2*math.Pi*at.Seconds()/20))
 		hot, impatient, impatientSize, flood := 0.0, false, 0.0, 0.0
-		for _, x := range d.Troubles {
+		for _, x := range d.Faults {
 			if at < x.At || at >= x.At+x.For {
 				continue
 			}
@@ -518,7 +518,7 @@
 }
 
 // hotNumber is the number that all dial on a day with mass calling.
-func (d *Day) hotNumber(p *plan) string {
+func (d *Scenario) hotNumber(p *plan) string {
 	return p.exchanges[int(d.Seed%uint64(len(p.exchanges)))].prefix + "00000"
 }
 
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -23,23 +23,23 @@
 )
 
 // play plays a day in exact time, without sockets.
-func play(t *testing.T, d *Day, change ...func(*Options)) Result {
+func play(t *testing.T, d *Scenario, change ...func(*Options)) Result {
 	t.Helper()
 	var res Result
 	synctest.Test(t, func(t *testing.T) {
-		var n memnet.Net
+		var n memnet.Network
 		opt := Options{Dial: n.Dial, Listen: n.Listen, Log: zerolog.Nop(), Slack: 2 * time.Millisecond}
 		for _, f := range change {
 			f(&opt)
 		}
 		var err error
-		if res, err = Play(context.Background(), d, opt); err != nil {
+		if res, err = Run(context.Background(), d, opt); err != nil {
 			t.Fatal(err)
 		}
 	})
-	for i, f := range res.Report.Broken {
+	for i, f := range res.Report.Violations {
 		if i == 10 {
-			t.Errorf("... and %d more", len(res.Report.Broken)-10)
+			t.Errorf("... and %d more", len(res.Report.Violations)-10)
 			break
 		}
 		t.Errorf("%v", f)
@@ -47,45 +47,45 @@
 	return res
 }
 
-func TestQuietDay(t *testing.T) {
-	res := play(t, QuietDay())
+func TestNoFaults(t *testing.T) {
+	res := play(t, NoFaults())
 	t.Logf("%+v", res.Report.Whole)
 	if res.Report.Whole.Share < 0.95 {
 		t.Errorf("service %.3f", res.Report.Whole.Share)
 	}
 }
 
-func TestBadDay(t *testing.T) {
-	res := play(t, BadDay())
+func TestOverlappingFaults(t *testing.T) {
+	res := play(t, OverlappingFaults())
 	t.Logf("whole %.3f, worst 10 s %.3f, worst class %s, delays %v, %d attempts", res.Report.Whole.Share, res.Report.WorstWindow.Share, res.Report.WorstClass, res.Report.DelaysMS, res.Report.Attempts)
-	for _, x := range res.Report.Troubles {
+	for _, x := range res.Report.Faults {
 		t.Logf("%-18s %.3f", x.Name, x.Service.Share)
 	}
 }
 
 // Every kind of trouble, alone, through the whole path.
-func TestTroubles(t *testing.T) {
-	for _, k := range Kinds {
+func TestEachFault(t *testing.T) {
+	for _, k := range FaultKinds {
 		t.Run(string(k), func(t *testing.T) {
-			d, err := Draw(1, "only:"+string(k))
+			d, err := Generate(1, "only:"+string(k))
 			if err != nil {
 				t.Fatal(err)
 			}
 			res := play(t, d)
-			t.Logf("whole %.3f, worst 10 s %.3f, in it %+v", res.Report.Whole.Share, res.Report.WorstWindow.Share, res.Report.Troubles[0].Service.Share)
+			t.Logf("whole %.3f, worst 10 s %.3f, in it %+v", res.Report.Whole.Share, res.Report.WorstWindow.Share, res.Report.Faults[0].Service.Share)
 		})
 	}
 }
 
 // Service of days without ringing, to be set beside that of another version of the program by kind and seed.
-func TestServiceOfDays(t *testing.T) {
+func TestServiceOfScenarios(t *testing.T) {
 	for _, kind := range []string{"bad", "quiet", "trouble", "overload"} {
 		for seed := *first; seed < *first+*pairs; seed++ {
-			d := BadDay()
+			d := OverlappingFaults()
 			d.Seed = seed
 			if kind != "bad" {
 				var err error
-				if d, err = Draw(seed, kind); err != nil {
+				if d, err = Generate(seed, kind); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -96,11 +96,11 @@
 }
 
 // Drawn days that nobody tuned to: no rule breaks.
-func TestDrawnDays(t *testing.T) {
+func TestGeneratedScenarios(t *testing.T) {
 	kinds := []string{"trouble", "overload"}
 	seeds := []uint64{1, 2, 3, 4, 5}
 	if *days > 0 {
-		for _, k := range Kinds {
+		for _, k := range FaultKinds {
 			kinds = append(kinds, "only:"+string(k))
 		}
 		seeds = nil
@@ -111,7 +111,7 @@
 	for _, k := range kinds {
 		for _, seed := range seeds {
 			t.Run(fmt.Sprintf("%s-%d", k, seed), func(t *testing.T) {
-				d, err := Draw(seed, k)
+				d, err := Generate(seed, k)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -122,10 +122,10 @@
 }
 
 // A drawn day that is printed and read again is the same day.
-func TestDrawnDayRoundTrip(t *testing.T) {
+func TestGeneratedScenarioRoundTrip(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, kind := range []string{"quiet", "trouble", "overload"} {
-			d, err := Draw(seed, kind)
+			d, err := Generate(seed, kind)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -142,7 +142,7 @@
 			}
 		}
 	}
-	if _, err := Draw(1, "only:nothing"); err == nil {
+	if _, err := Generate(1, "only:nothing"); err == nil {
 		t.Error("an unknown kind is drawn")
 	}
 }
--- a/script/script_test.go
+++ b/script/script_test.go
@@ -248,7 +248,7 @@
 		"excludes everything": {"on route {\n\tfor i in 0..1000 {\n\t\texclude(i)\n\t}\n}", nil, "more than 32"},
 	} {
 		res, err := run(t, c.src)
-		var f *Fault
+		var f *RuntimeError
 		if !errors.As(err, &f) || c.want != nil && !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.what) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -530,7 +530,7 @@
 		if res.Steps > 3000+200 || res.Memory > 20000+1<<16 {
 			t.Fatalf("%d steps, %d octets\n%s", res.Steps, res.Memory, b.String())
 		}
-		var f *Fault
+		var f *RuntimeError
 		if err != nil && (!errors.As(err, &f) || strings.Contains(f.What, "unknown")) {
 			t.Fatalf("%v\n%s", err, b.String())
 		}
@@ -567,7 +567,7 @@
 		for i := range p.Hooks {
 			var res Result
 			err := vm.Run(p, i, &callEvent, st, time.Hour, &res)
-			var fault *Fault
+			var fault *RuntimeError
 			if err != nil && !errors.As(err, &fault) {
 				t.Fatal(err)
 			}
--- a/script/vm.go
+++ b/script/vm.go
@@ -57,18 +57,18 @@
 	ErrMemory = errors.New("out of memory")
 )
 
-// Fault is a run that failed: by fail, an index beyond a list, a missing key, a division by zero or a value that an action
+// RuntimeError is a run that failed: by fail, an index beyond a list, a missing key, a division by zero or a value that an action
 // does not take; or, wrapped, ErrSteps or ErrMemory.
-type Fault struct {
+type RuntimeError struct {
 	Program string
 	Line    int
 	What    string
 	Err     error
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("%s:%d: %s", f.Program, f.Line, f.What) }
+func (f *RuntimeError) Error() string { return fmt.Sprintf("%s:%d: %s", f.Program, f.Line, f.What) }
 
-func (f *Fault) Unwrap() error { return f.Err }
+func (f *RuntimeError) Unwrap() error { return f.Err }
 
 // Event is what a hook is told: numbers and strings at the places that hookFields names.
 type Event struct {
@@ -84,8 +84,8 @@
 	maxLogs     = 16
 )
 
-// Pair is a field for a log line.
-type Pair struct{ Key, Value string }
+// LogField is a field for a log line.
+type LogField struct{ Key, Value string }
 
 // Result is what a hook asked for. The zero Result asks for nothing.
 type Result struct {
@@ -93,10 +93,10 @@
 	Class   string
 	Tenant  string
 	Rewrite string
-	Treat   int
+	TreatAs int
 	Tags    []string
 	Exclude []int
-	Logs    []Pair
+	Logs    []LogField
 	Steps   int // used
 	Memory  int
 }
@@ -156,7 +156,7 @@
 	if what == "" {
 		what = err.Error()
 	}
-	return &Fault{p.Name, line, what, err}
+	return &RuntimeError{p.Name, line, what, err}
 }
 
 func truth(b bool) int64 {
@@ -586,7 +586,7 @@
 			if v := n[baseN+a]; !Treatable(v) {
 				return at(), fmt.Sprintf("treat_as(%d): 17, 34, 41 and 42 can be", v), nil
 			} else {
-				res.Treat = int(v)
+				res.TreatAs = int(v)
 			}
 		case opTag:
 			s := r[baseR+a].s
@@ -599,7 +599,7 @@
 			if len(res.Logs) >= maxLogs || len(k) > maxTag || len(v) > 256 {
 				return at(), fmt.Sprintf("more than %d log fields, or one of more than 256 octets", maxLogs), nil
 			}
-			res.Logs = append(res.Logs, Pair{k, v})
+			res.Logs = append(res.Logs, LogField{k, v})
 		case opRateAdd:
 			steps -= 4
 			st.rates[a].add(r[baseR+b].s, now)
--- a/trunk/trunk.go
+++ b/trunk/trunk.go
@@ -18,8 +18,8 @@
 	T5  time.Duration // ... and after this the circuit is reset (5 min)
 	T16 time.Duration // RSC or GRS without an answer is sent again (15 s)
 	T28 time.Duration // CQM without CQR is sent again (10 s)
-	// Hold is how long standing calls outlive the loss of signalling towards the far end, before they count as cut (10 s).
-	Hold time.Duration
+	// SignallingHold is how long standing calls outlive the loss of signalling towards the far end, before they count as cut (10 s).
+	SignallingHold time.Duration
 }
 
 func (t Timers) withDefaults() Timers {
@@ -32,7 +32,7 @@
 	def(&t.T5, 5*time.Minute)
 	def(&t.T16, 15*time.Second)
 	def(&t.T28, 10*time.Second)
-	def(&t.Hold, 10*time.Second)
+	def(&t.SignallingHold, 10*time.Second)
 	return t
 }
 
@@ -52,50 +52,50 @@
 	return [...]string{"idle", "outgoing", "incoming", "releasing", "resetting"}[s]
 }
 
-// Why tells how a call lost its circuit.
-type Why uint8
+// Reason tells how a call lost its circuit.
+type Reason uint8
 
 // The reasons.
 const (
-	Yielded   Why = iota // dual seizure: the far end controls the circuit
-	WasReset             // RSC, GRS, or the far end knows nothing of the call
-	Hardware             // blocked for hardware failure
-	Signalled            // signalling to the far end is lost
+	DualSeizure     Reason = iota // dual seizure: the far end controls the circuit
+	CircuitReset                  // RSC, GRS, or the far end knows nothing of the call
+	HardwareBlocked               // blocked for hardware failure
+	SignallingLost                // signalling to the far end is lost
 )
 
-func (w Why) String() string {
+func (w Reason) String() string {
 	return [...]string{"dual seizure", "circuit reset", "hardware failure", "signalling lost"}[w]
 }
 
-// Act is something to be done for a group: one of the types below.
-type Act interface{ act() }
+// Action is something to be done for a group: one of the types below.
+type Action interface{ act() }
 
 type (
-	// ToFar sends a message to the far switch.
-	ToFar struct{ Msg isup.Message }
-	// ToOwn sends a message about the group's circuits to the own switch.
-	ToOwn struct{ Msg isup.Message }
-	// Lost tells that a call has lost its circuit; the group has already dealt with the circuit.
-	Lost struct {
-		Call uint64
-		CIC  uint16
-		Out  bool // it was seized here
-		Why  Why
-	}
-	// Alarm asks to be handed back to Group.Alarm after the given time.
-	Alarm struct {
-		After time.Duration
-		Wake  Wake
+	// SendToFar sends a message to the far switch.
+	SendToFar struct{ Msg isup.Message }
+	// SendToOwn sends a message about the group's circuits to the own switch.
+	SendToOwn struct{ Msg isup.Message }
+	// CircuitLost tells that a call has lost its circuit; the group has already dealt with the circuit.
+	CircuitLost struct {
+		Call       uint64
+		CIC        uint16
+		SeizedHere bool // it was seized here
+		Reason     Reason
+	}
+	// StartTimer asks to be handed back to Group.TimerExpired after the given time.
+	StartTimer struct {
+		After   time.Duration
+		TimerID TimerID
 	}
 )
 
-func (ToFar) act() {}
-func (ToOwn) act() {}
-func (Lost) act()  {}
-func (Alarm) act() {}
+func (SendToFar) act()   {}
+func (SendToOwn) act()   {}
+func (CircuitLost) act() {}
+func (StartTimer) act()  {}
 
-// Wake is the content of an Alarm.
-type Wake struct {
+// TimerID is the content of an Alarm.
+type TimerID struct {
 	CIC  uint16 // 0: the whole group
 	Kind wakeKind
 	Gen  uint32
@@ -125,7 +125,7 @@
 
 // Group is one trunk group. It is not safe for concurrent use.
 type Group struct {
-	Acts []Act // what is to be done; the owner takes them and cuts the slice
+	Actions []Action // what is to be done; the owner takes them and cuts the slice
 
 	t        Timers
 	self     uint32
@@ -230,16 +230,16 @@
 	}
 }
 
-func (g *Group) do(a Act) { g.Acts = append(g.Acts, a) }
+func (g *Group) do(a Action) { g.Actions = append(g.Actions, a) }
 
-func (g *Group) toFar(t isup.Type, cic uint16) { g.do(ToFar{isup.Message{Type: t, CIC: cic}}) }
+func (g *Group) toFar(t isup.Type, cic uint16) { g.do(SendToFar{isup.Message{Type: t, CIC: cic}}) }
 
 func (g *Group) alarm(d time.Duration, cic uint16, k wakeKind) {
 	gen := g.gen
 	if cic != 0 {
 		gen = g.circuits[cic].gen
 	}
-	g.do(Alarm{d, Wake{cic, k, gen}})
+	g.do(StartTimer{d, TimerID{cic, k, gen}})
 }
 
 func (g *Group) has(cic uint16) bool { return cic >= 1 && int(cic) < len(g.circuits) }
@@ -304,28 +304,28 @@
 // Release ends the call on a circuit seized here: REL goes out, and the circuit is taken until RLC has come.
 func (g *Group) Release(cic uint16, cause isup.Cause, loc isup.Location) {
 	g.set(cic, Releasing, 0)
-	g.do(ToFar{isup.Message{Type: isup.REL, CIC: cic, Cause: cause, Location: loc}})
+	g.do(SendToFar{isup.Message{Type: isup.REL, CIC: cic, Cause: cause, Location: loc}})
 	g.alarm(g.t.T1, cic, wakeRelease)
 }
 
 func (g *Group) toFarREL(cic uint16, cause isup.Cause) {
-	g.do(ToFar{isup.Message{Type: isup.REL, CIC: cic, Cause: cause, Location: isup.LocationNetwork}})
+	g.do(SendToFar{isup.Message{Type: isup.REL, CIC: cic, Cause: cause, Location: isup.LocationNetwork}})
 }
 
-// Verdict is what is made of a seizure by the far end.
-type Verdict uint8
+// SeizureResult is what is made of a seizure by the far end.
+type SeizureResult uint8
 
 // The verdicts.
 const (
-	Taken    Verdict = iota // the far end's call has the circuit
-	Ours                    // dual seizure on a circuit that we control: it is disregarded (Q.764, 2.9.1.4)
-	Nonsense                // the circuit does not exist
+	SeizureAccepted    SeizureResult = iota // the far end's call has the circuit
+	SeizureDisregarded                      // dual seizure on a circuit that we control: it is disregarded (Q.764, 2.9.1.4)
+	SeizureInvalid                          // the circuit does not exist
 )
 
 // FarSeized takes an IAM of the far end, as the own switch passes it on.
-func (g *Group) FarSeized(cic uint16, call uint64) Verdict {
+func (g *Group) FarSeized(cic uint16, call uint64) SeizureResult {
 	if !g.has(cic) {
-		return Nonsense
+		return SeizureInvalid
 	}
 	c := &g.circuits[cic]
 	switch c.state {
@@ -334,23 +334,23 @@
 		// hand, for word of the far end's seizure may come late.
 		g.DualSeizures++
 		if g.controls(cic) {
-			g.do(ToOwn{isup.Message{Type: isup.RSC, CIC: cic}})
-			return Ours
+			g.do(SendToOwn{isup.Message{Type: isup.RSC, CIC: cic}})
+			return SeizureDisregarded
 		}
 		// The far switch has our IAM, and its controller may never have seen the two meet: it is told that the call is over,
 		// so that no second attempt can meet the first.
 		g.toFarREL(cic, isup.CauseTemporary)
-		g.do(Lost{c.call, cic, true, Yielded})
+		g.do(CircuitLost{c.call, cic, true, DualSeizure})
 		g.set(cic, Incoming, call)
-		return Taken
+		return SeizureAccepted
 	case Incoming: // the far end has cleared its last call there, and word of that is lost
-		g.lose(cic, WasReset)
+		g.lose(cic, CircuitReset)
 		g.set(cic, Incoming, call)
-		return Taken
+		return SeizureAccepted
 	default:
 		// The far end takes a circuit as idle only after it has heard the release or reset: our RLC is lost or on its way.
 		g.set(cic, Incoming, call)
-		return Taken
+		return SeizureAccepted
 	}
 }
 
@@ -362,9 +362,9 @@
 }
 
 // lose tells the call on a circuit that it has lost it.
-func (g *Group) lose(cic uint16, why Why) {
+func (g *Group) lose(cic uint16, why Reason) {
 	if c := &g.circuits[cic]; c.call != 0 && (c.state == Outgoing || c.state == Incoming) {
-		g.do(Lost{c.call, cic, c.state == Outgoing, why})
+		g.do(CircuitLost{c.call, cic, c.state == Outgoing, why})
 		c.call = 0
 	}
 }
@@ -415,7 +415,7 @@
 			ack.Type = isup.CGUA
 		}
 		ack.Status = append([]byte(nil), m.Status...)
-		g.do(ToFar{ack})
+		g.do(SendToFar{ack})
 	case isup.CQR:
 		g.response(m, true)
 	case isup.GRA:
@@ -426,7 +426,7 @@
 		}
 	case isup.RSC: // the far switch has lost the call that we have there
 		g.Resets++
-		g.lose(m.CIC, WasReset)
+		g.lose(m.CIC, CircuitReset)
 		if c.state != Incoming {
 			g.set(m.CIC, Idle, 0)
 		}
@@ -434,11 +434,11 @@
 	case isup.GRS:
 		for i := 0; i <= int(m.Range); i++ {
 			if cic := m.CIC + uint16(i); g.has(cic) && g.circuits[cic].state != Incoming {
-				g.lose(cic, WasReset)
+				g.lose(cic, CircuitReset)
 				g.set(cic, Idle, 0)
 			}
 		}
-		g.do(ToFar{isup.Message{Type: isup.GRA, CIC: m.CIC, Range: m.Range, Status: make([]byte, (m.Range+8)/8)}})
+		g.do(SendToFar{isup.Message{Type: isup.GRA, CIC: m.CIC, Range: m.Range, Status: make([]byte, (m.Range+8)/8)}})
 	}
 }
 
@@ -462,7 +462,7 @@
 		// The own switch answers for calls that end with it. One in transit ends here: until this RLC the far end may not
 		// take the circuit again, or an answer of ours still under way would meet its next call.
 		if c := &g.circuits[m.CIC]; c.state == Incoming && c.call != 0 || c.state == Idle {
-			g.do(ToOwn{isup.Message{Type: isup.RLC, CIC: m.CIC}})
+			g.do(SendToOwn{isup.Message{Type: isup.RLC, CIC: m.CIC}})
 		}
 		g.FarReleased(m.CIC)
 	case isup.RLC:
@@ -484,7 +484,7 @@
 			hardware := m.Supervision == isup.Hardware
 			if hardware && m.Type == isup.CGB && g.circuits[cic].state == Outgoing {
 				// The far switch may not know: it is told that our call is over, before another attempt is made.
-				g.lose(cic, Hardware)
+				g.lose(cic, HardwareBlocked)
 				g.Release(cic, isup.CauseTemporary, isup.LocationNetwork)
 			}
 			g.block(cic, m.Type == isup.CGB, hardware)
@@ -500,10 +500,10 @@
 	g.Resets++
 	switch c.state {
 	case Outgoing:
-		g.lose(cic, WasReset)
+		g.lose(cic, CircuitReset)
 		g.Release(cic, isup.CauseTemporary, isup.LocationNetwork)
 	case Incoming:
-		g.lose(cic, WasReset)
+		g.lose(cic, CircuitReset)
 		g.set(cic, Idle, 0)
 	}
 }
@@ -523,7 +523,7 @@
 	if hardware {
 		c.broken = on
 		if on && (c.state == Outgoing || c.state == Incoming) {
-			g.lose(cic, Hardware)
+			g.lose(cic, HardwareBlocked)
 			g.set(cic, Idle, 0)
 		}
 	} else {
@@ -571,7 +571,7 @@
 		for i := range n {
 			status[i/8] |= 1 << (i % 8)
 		}
-		g.do(ToFar{isup.Message{Type: t, CIC: uint16(first), Range: byte(n - 1), Status: status}})
+		g.do(SendToFar{isup.Message{Type: t, CIC: uint16(first), Range: byte(n - 1), Status: status}})
 	}
 }
 
@@ -582,10 +582,10 @@
 	clear(g.queries)
 	for cic := uint16(1); g.has(cic); cic++ {
 		if c := &g.circuits[cic]; c.state == Outgoing && !c.answered {
-			g.lose(cic, Signalled)
+			g.lose(cic, SignallingLost)
 		}
 	}
-	g.alarm(g.t.Hold, 0, wakeHold)
+	g.alarm(g.t.SignallingHold, 0, wakeHold)
 }
 
 // Sync asks the far switch, when signalling comes up, which circuits it takes for busy. The group carries no new call
@@ -602,14 +602,14 @@
 }
 
 func (g *Group) query(first uint16, n int) {
-	g.do(ToFar{isup.Message{Type: isup.CQM, CIC: first, Range: byte(n - 1)}})
+	g.do(SendToFar{isup.Message{Type: isup.CQM, CIC: first, Range: byte(n - 1)}})
 }
 
 // SyncOwn asks the own switch which circuits the far end has seized.
 func (g *Group) SyncOwn() {
 	for first := 1; first < len(g.circuits); first += isup.MaxRange {
 		n := min(isup.MaxRange, len(g.circuits)-first)
-		g.do(ToOwn{isup.Message{Type: isup.CQM, CIC: uint16(first), Range: byte(n - 1)}})
+		g.do(SendToOwn{isup.Message{Type: isup.CQM, CIC: uint16(first), Range: byte(n - 1)}})
 	}
 }
 
@@ -637,7 +637,7 @@
 				g.set(cic, Incoming, 0)
 			case !busy && c.state == Incoming:
 				g.Leaks++
-				g.lose(cic, WasReset)
+				g.lose(cic, CircuitReset)
 				g.set(cic, Idle, 0)
 			}
 			continue
@@ -654,7 +654,7 @@
 			g.toFar(isup.RSC, cic)
 		case !busy && c.state == Outgoing:
 			g.Leaks++
-			g.lose(cic, WasReset)
+			g.lose(cic, CircuitReset)
 			g.set(cic, Idle, 0)
 		case !busy && (c.state == Releasing || c.state == Resetting):
 			g.set(cic, Idle, 0)
@@ -677,8 +677,8 @@
 	return false
 }
 
-// Alarm takes an alarm that has run out.
-func (g *Group) Alarm(w Wake) {
+// TimerExpired takes an alarm that has run out.
+func (g *Group) TimerExpired(w TimerID) {
 	if w.CIC == 0 {
 		if w.Gen != g.gen {
 			return
@@ -696,7 +696,7 @@
 		case wakeHold:
 			for cic := uint16(1); g.has(cic); cic++ {
 				if g.circuits[cic].state == Outgoing {
-					g.lose(cic, Signalled)
+					g.lose(cic, SignallingLost)
 				}
 			}
 		}
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -25,8 +25,8 @@
 // agree answers the queries of Sync: all idle.
 func agree(g *Group) {
 	g.Sync()
-	for _, a := range g.Acts {
-		if q, ok := a.(ToFar); ok && q.Msg.Type == isup.CQM {
+	for _, a := range g.Actions {
+		if q, ok := a.(SendToFar); ok && q.Msg.Type == isup.CQM {
 			idle := make([]byte, q.Msg.Range+1)
 			for i := range idle {
 				idle[i] = isup.CircuitIdle
@@ -34,16 +34,16 @@
 			g.FromFar(&isup.Message{Type: isup.CQR, CIC: q.Msg.CIC, Range: q.Msg.Range, Circuits: idle})
 		}
 	}
-	g.Acts = nil
+	g.Actions = nil
 }
 
-func take(g *Group) []Act {
-	a := g.Acts
-	g.Acts = nil
+func take(g *Group) []Action {
+	a := g.Actions
+	g.Actions = nil
 	return a
 }
 
-func find[T Act](acts []Act) (T, bool) {
+func find[T Action](acts []Action) (T, bool) {
 	for _, a := range acts {
 		if x, ok := a.(T); ok {
 			return x, true
@@ -76,16 +76,16 @@
 	a, b := group(t, 1, 2, 1), group(t, 2, 1, 1) // circuit 1 is odd: the lower point code controls it
 	x, _ := a.Seize(11)
 	y, _ := b.Seize(22)
-	if v := a.FarSeized(y, 0); v != Ours {
+	if v := a.FarSeized(y, 0); v != SeizureDisregarded {
 		t.Errorf("the controlling end says %v", v)
 	}
-	if m, ok := find[ToOwn](take(a)); !ok || m.Msg.Type != isup.RSC {
+	if m, ok := find[SendToOwn](take(a)); !ok || m.Msg.Type != isup.RSC {
 		t.Error("the own switch is not told to disregard the far end's call")
 	}
-	if v := b.FarSeized(x, 0); v != Taken {
+	if v := b.FarSeized(x, 0); v != SeizureAccepted {
 		t.Errorf("the other end says %v", v)
 	}
-	if l, ok := find[Lost](take(b)); !ok || l.Call != 22 || l.Why != Yielded || !l.Out {
+	if l, ok := find[CircuitLost](take(b)); !ok || l.Call != 22 || l.Reason != DualSeizure || !l.SeizedHere {
 		t.Errorf("the yielding call is told %+v", l)
 	}
 	if s, c := a.Circuit(1); s != Outgoing || c != 11 {
@@ -105,17 +105,17 @@
 	for range 30 {
 		acts := take(g)
 		for _, a := range acts {
-			if m, ok := a.(ToFar); ok && m.Msg.Type == isup.REL {
+			if m, ok := a.(SendToFar); ok && m.Msg.Type == isup.REL {
 				rel++
 			} else if ok && m.Msg.Type == isup.RSC {
 				rsc++
 			}
 		}
-		al, ok := find[Alarm](acts)
+		al, ok := find[StartTimer](acts)
 		if !ok {
 			t.Fatal("no alarm is set: the circuit would stay taken for ever")
 		}
-		g.Alarm(al.Wake)
+		g.TimerExpired(al.TimerID)
 	}
 	if rel != 20 || rsc < 5 { // T5 / T1 = 20 times, the first included
 		t.Errorf("%d RELs and %d RSCs", rel, rsc)
@@ -129,16 +129,16 @@
 	}
 }
 
-func TestOldAlarm(t *testing.T) {
+func TestStaleTimer(t *testing.T) {
 	g := group(t, 1, 2, 1)
 	cic, _ := g.Seize(1)
 	g.Release(cic, isup.CauseNormal, 0)
-	al, _ := find[Alarm](take(g))
+	al, _ := find[StartTimer](take(g))
 	g.FromFar(&isup.Message{Type: isup.RLC, CIC: cic})
 	g.Seize(2)
-	g.Alarm(al.Wake)
-	if len(g.Acts) != 0 {
-		t.Errorf("an alarm of the last call touches the next: %+v", g.Acts)
+	g.TimerExpired(al.TimerID)
+	if len(g.Actions) != 0 {
+		t.Errorf("an alarm of the last call touches the next: %+v", g.Actions)
 	}
 }
 
@@ -146,10 +146,10 @@
 	g := group(t, 1, 2, 8)
 	cic, _ := g.Seize(7)
 	g.FromFar(&isup.Message{Type: isup.CGB, CIC: 1, Range: 7, Supervision: isup.Maintenance, Status: []byte{0xff}})
-	if _, ok := find[Lost](g.Acts); ok || g.Free() != 0 || g.Size() != 0 {
+	if _, ok := find[CircuitLost](g.Actions); ok || g.Free() != 0 || g.Size() != 0 {
 		t.Errorf("maintenance blocking leaves %d free of %d, or ends a call", g.Free(), g.Size())
 	}
-	if m, ok := find[ToFar](take(g)); !ok || m.Msg.Type != isup.CGBA {
+	if m, ok := find[SendToFar](take(g)); !ok || m.Msg.Type != isup.CGBA {
 		t.Error("no acknowledgement")
 	}
 	g.FromFar(&isup.Message{Type: isup.CGU, CIC: 1, Range: 7, Supervision: isup.Maintenance, Status: []byte{0xff}})
@@ -158,7 +158,7 @@
 	}
 	take(g)
 	g.FromFar(&isup.Message{Type: isup.CGB, CIC: 1, Range: 7, Supervision: isup.Hardware, Status: []byte{0xff}})
-	if l, ok := find[Lost](take(g)); !ok || l.Call != 7 || l.CIC != cic || l.Why != Hardware {
+	if l, ok := find[CircuitLost](take(g)); !ok || l.Call != 7 || l.CIC != cic || l.Reason != HardwareBlocked {
 		t.Errorf("hardware failure: %+v", l)
 	}
 	g.Block(true) // blocked twice: each has to be lifted
@@ -182,10 +182,10 @@
 	cic, _ := g.Seize(7)
 	g.FromFar(&isup.Message{Type: isup.GRS, CIC: 0, Range: 31})
 	acts := take(g)
-	if l, ok := find[Lost](acts); !ok || l.Call != 7 || l.CIC != cic {
+	if l, ok := find[CircuitLost](acts); !ok || l.Call != 7 || l.CIC != cic {
 		t.Errorf("%+v", l)
 	}
-	if m, ok := find[ToFar](acts); !ok || m.Msg.Type != isup.GRA || m.Msg.CIC != 0 {
+	if m, ok := find[SendToFar](acts); !ok || m.Msg.Type != isup.GRA || m.Msg.CIC != 0 {
 		t.Errorf("%+v", m)
 	}
 	g.FromOwn(&isup.Message{Type: isup.CGB, CIC: 3, Range: 9, Supervision: isup.Hardware, Status: []byte{0xff, 3}})
@@ -202,9 +202,9 @@
 	}
 	g.Sync()
 	idle := isup.Message{Type: isup.CQR, CIC: 1, Range: 1, Circuits: []byte{isup.CircuitIdle, isup.CircuitIdle}}
-	al, _ := find[Alarm](take(g))
-	g.Alarm(al.Wake)
-	if m, ok := find[ToFar](take(g)); !ok || m.Msg.Type != isup.CQM {
+	al, _ := find[StartTimer](take(g))
+	g.TimerExpired(al.TimerID)
+	if m, ok := find[SendToFar](take(g)); !ok || m.Msg.Type != isup.CQM {
 		t.Fatal("the query is not repeated")
 	}
 	g.FromFar(&idle)
@@ -213,7 +213,7 @@
 		t.Fatal("not in sync after the first answer")
 	}
 	g.FromFar(&idle)
-	if l, lost := find[Lost](take(g)); lost {
+	if l, lost := find[CircuitLost](take(g)); lost {
 		t.Errorf("%+v", l)
 	}
 	if s, call := g.Circuit(cic); s != Outgoing || call != 7 {
@@ -231,17 +231,17 @@
 	g.Answered(c)
 	g.Down()
 	acts := take(g)
-	if l, ok := find[Lost](acts); !ok || l.Call != 1 {
+	if l, ok := find[CircuitLost](acts); !ok || l.Call != 1 {
 		t.Errorf("the call being set up: %+v", l)
 	}
 	if _, ok := g.Seize(9); ok {
 		t.Fatal("a group without signalling gives a circuit")
 	}
-	hold, _ := find[Alarm](acts)
+	hold, _ := find[StartTimer](acts)
 	g.Sync()
-	g.Alarm(hold.Wake) // signalling is back: of no effect
+	g.TimerExpired(hold.TimerID) // signalling is back: of no effect
 	for _, act := range take(g) {
-		if q, ok := act.(ToFar); ok {
+		if q, ok := act.(SendToFar); ok {
 			states := make([]byte, q.Msg.Range+1)
 			for i := range states {
 				states[i] = isup.CircuitIdle
@@ -253,10 +253,10 @@
 		}
 	}
 	acts = take(g)
-	if l, ok := find[Lost](acts); !ok || l.Call != 3 {
+	if l, ok := find[CircuitLost](acts); !ok || l.Call != 3 {
 		t.Errorf("the call that the far end forgot: %+v", l)
 	}
-	if m, ok := find[ToFar](acts); !ok || m.Msg.Type != isup.RSC || m.Msg.CIC != a {
+	if m, ok := find[SendToFar](acts); !ok || m.Msg.Type != isup.RSC || m.Msg.CIC != a {
 		t.Errorf("the circuit of the lost attempt is not reset: %+v", m)
 	}
 	if s, call := g.Circuit(b); s != Outgoing || call != 2 {
@@ -272,12 +272,12 @@
 	cic, _ := g.Seize(5)
 	g.Answered(cic)
 	g.Down()
-	hold, ok := find[Alarm](take(g))
+	hold, ok := find[StartTimer](take(g))
 	if !ok || hold.After != 10*time.Second {
 		t.Fatalf("%+v", hold)
 	}
-	g.Alarm(hold.Wake)
-	if l, ok := find[Lost](take(g)); !ok || l.Call != 5 {
+	g.TimerExpired(hold.TimerID)
+	if l, ok := find[CircuitLost](take(g)); !ok || l.Call != 5 {
 		t.Errorf("%+v", l)
 	}
 }
@@ -297,7 +297,7 @@
 	fromFar []isup.Message // far switch to controller
 	fromOwn []isup.Message // own switch to controller
 	toOwn   []isup.Message
-	alarms  []Wake
+	alarms  []TimerID
 	calls   map[uint64]uint16 // alive here, by circuit
 	ans     map[uint64]bool   // ... that stand
 	sw      map[uint16]uint64 // in the switch: the far controller's call by circuit
@@ -324,14 +324,14 @@
 func (e *end) acts() {
 	for _, a := range take(e.g) {
 		switch a := a.(type) {
-		case ToFar:
+		case SendToFar:
 			e.toFar = append(e.toFar, a.Msg)
-		case ToOwn:
+		case SendToOwn:
 			e.toOwn = append(e.toOwn, a.Msg)
-		case Alarm:
-			e.alarms = append(e.alarms, a.Wake)
-		case Lost:
-			if a.Out {
+		case StartTimer:
+			e.alarms = append(e.alarms, a.TimerID)
+		case CircuitLost:
+			if a.SeizedHere {
 				delete(e.calls, a.Call)
 				delete(e.ans, a.Call)
 				e.lost++
@@ -476,7 +476,7 @@
 			due := e.alarms
 			e.alarms = nil
 			for _, a := range due {
-				e.g.Alarm(a)
+				e.g.TimerExpired(a)
 				e.acts()
 			}
 			moved = moved || len(due) > 0
@@ -595,7 +595,7 @@
 		for b.Loop() {
 			cic, _ := g.Seize(1)
 			g.FromFar(&isup.Message{Type: isup.REL, CIC: cic})
-			g.Acts = g.Acts[:0]
+			g.Actions = g.Actions[:0]
 		}
 	}
 }
