--- a/cmd/umbergauge/switch.go
+++ b/cmd/umbergauge/switch.go
@@ -44,7 +44,7 @@
 				case <-tick.C:
 				}
 				var b strings.Builder
-				pcs, n := s.Standing()
+				pcs, n := s.Established()
 				for i, pc := range pcs {
 					fmt.Fprintf(&b, " %d:%d", pc, n[i])
 				}
--- a/controller/calls.go
+++ b/controller/calls.go
@@ -185,7 +185,7 @@
 	if v == admission.Admitted {
 		return false
 	}
-	c.Counters.KeptOut++
+	c.Counters.NotAdmitted++
 	l.congestion = byte(min(max(level, 1), 2))
 	c.clearLeg(l, isup.CauseCongestion, isup.LocationNetwork)
 	return true
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -182,11 +182,13 @@
 
 // Counters are totals since the start.
 type Counters struct {
-	Offered, Transit, Attempts, Established, Refused, Failed, Left, Finished, Cut uint64
-	TimedOut, NoContact, NotSent, LateAnswers, Malformed, Unexpected, QueueFull   uint64
-	Alerted, NoAnswer, Pending                                                    uint64
-	KeptOut                                                                       uint64
-	HookAsked, HookLate, HookBusy, HookRefused                                    uint64
+	Offered, Transit, Attempts, Established, Refused, Failed                    uint64
+	Abandoned                                                                   uint64 `json:"Left"`
+	Finished, Cut                                                               uint64
+	TimedOut, NoContact, NotSent, LateAnswers, Malformed, Unexpected, QueueFull uint64
+	Alerted, NoAnswer, Pending                                                  uint64
+	NotAdmitted                                                                 uint64 `json:"KeptOut"`
+	HookAsked, HookLate, HookBusy, HookRefused                                  uint64
 }
 
 type phase uint8
@@ -1100,7 +1102,7 @@
 	case Failed:
 		c.Counters.Failed++
 	case Abandoned:
-		c.Counters.Left++
+		c.Counters.Abandoned++
 	case Finished:
 		c.Counters.Finished++
 	case Cut:
@@ -1170,8 +1172,8 @@
 // Open is the number of calls in the table.
 func (c *Core) Open() int { return len(c.calls) }
 
-// HangUp ends every standing call, before the daemon ends.
-func (c *Core) HangUp(now time.Duration) {
+// ReleaseAll ends every standing call, before the daemon ends.
+func (c *Core) ReleaseAll(now time.Duration) {
 	c.now = now
 	ids := make([]uint64, 0, len(c.calls))
 	for id, k := range c.calls {
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -665,7 +665,7 @@
 	if r.c.Waiting() != 0 || r.c.Open() != 1 {
 		t.Errorf("%d waiting, %d open", r.c.Waiting(), r.c.Open())
 	}
-	r.c.HangUp(r.now)
+	r.c.ReleaseAll(r.now)
 	r.one(client, isup.REL)
 	r.one(two, isup.REL)
 	if r.c.Open() != 0 {
@@ -823,7 +823,7 @@
 	r.c.AssocUp(r.now, other, Peer{Kind: Client, Name: "d"})
 	r.from(other, 901, iam(1, "2001"))
 	r.one(two, isup.IAM)
-	if c := r.c.Counters; c.KeptOut != 15 || c.Offered != 6 {
+	if c := r.c.Counters; c.NotAdmitted != 15 || c.Offered != 6 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/controller/hooks.go
+++ b/controller/hooks.go
@@ -52,7 +52,7 @@
 	if k.asking == askEnd {
 		kind = script.AttemptEnd
 	}
-	k.set.Late(kind)
+	k.set.CountTimeout(kind)
 	a := hooks.Advice{}
 	if k.set.RefusesOnTimeout(kind) {
 		a.Refuse = int(isup.CauseCongestion)
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -209,7 +209,7 @@
 		text = links
 	case "counters":
 		c := s.counters
-		text = []string{fmt.Sprintf("offered %d, in transit %d, stood %d, refused %d, failed %d, left %d, finished %d, cut %d", c.Offered, c.Transit, c.Established, c.Refused, c.Failed, c.Left, c.Finished, c.Cut),
+		text = []string{fmt.Sprintf("offered %d, in transit %d, stood %d, refused %d, failed %d, left %d, finished %d, cut %d", c.Offered, c.Transit, c.Established, c.Refused, c.Failed, c.Abandoned, c.Finished, c.Cut),
 			fmt.Sprintf("attempts %d, timed out %d, no contact %d, not sent %d, late answers %d", c.Attempts, c.TimedOut, c.NoContact, c.NotSent, c.LateAnswers),
 			fmt.Sprintf("malformed %d, unexpected %d, queue full %d", c.Malformed, c.Unexpected, c.QueueFull)}
 	default:
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -244,7 +244,7 @@
 		if draining {
 			open := d.core.Open()
 			if d.core.Waiting() == 0 && d.now() >= drainUntil && open > 0 {
-				d.core.HangUp(d.now())
+				d.core.ReleaseAll(d.now())
 				open = 0
 			}
 			if open == 0 {
@@ -433,7 +433,7 @@
 		if p.d.hooks.post(hookJob{final: &e}) {
 			return
 		}
-		e.Set.Late(script.Final)
+		e.Set.CountTimeout(script.Final)
 	}
 	p.d.odd.line(e, nil)
 }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -190,7 +190,7 @@
 			t.Errorf("it took %v; the limit is 5 s", d)
 		}
 		time.Sleep(time.Second)
-		if k := c.Totals(); k.Stood != 2 || k.Refused != 1 || k.Cut != 1 {
+		if k := c.Totals(); k.Answered != 2 || k.Refused != 1 || k.Cut != 1 {
 			t.Errorf("%+v", k)
 		}
 		c.Close()
--- a/daemon/hooks.go
+++ b/daemon/hooks.go
@@ -233,8 +233,8 @@
 	return d.do(ctx, func() { d.useHooks(s, shadow) })
 }
 
-// PutHooks puts scripts that the program holds into use, for days that are played.
-func (d *Daemon) PutHooks(src []hooks.Source) error {
+// InstallHooks puts scripts that the program holds into use, for days that are played.
+func (d *Daemon) InstallHooks(src []hooks.Source) error {
 	s, err := d.hooks.compile(src, nil, d.hooks.book.Live())
 	if err != nil {
 		return err
@@ -302,7 +302,7 @@
 	if s := h.book.Live(); s.Has(script.ListChange) {
 		ev := script.ListEvent(e.PointCode, [...]string{"ready", "draining", "gone"}[e.Health], cold)
 		if !h.post(hookJob{list: &ev, set: s}) {
-			s.Late(script.ListChange)
+			s.CountTimeout(script.ListChange)
 		}
 	}
 }
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -92,7 +92,7 @@
 		{"late_answers_total", "Answers after the own time-out.", c.LateAnswers},
 		{"transit_calls_total", "Calls taken in transit.", c.Transit},
 		{"queue_full_total", "Frames that found the queue of their association full.", c.QueueFull},
-		{"kept_out_total", "Set-ups that limits kept out.", c.KeptOut},
+		{"kept_out_total", "Set-ups that limits kept out.", c.NotAdmitted},
 		{"hooks_asked_total", "Questions to hooks.", c.HookAsked},
 		{"hooks_late_total", "Questions without an answer by the deadline.", c.HookLate},
 		{"hooks_busy_total", "Questions that found the hooks' queue full.", c.HookBusy},
--- a/daemon/servers_test.go
+++ b/daemon/servers_test.go
@@ -48,7 +48,7 @@
 		}
 		a.Close()
 		time.Sleep(100 * time.Millisecond)
-		if k := r.counters(); k.Established != 1 || k.Cut+k.Finished+k.Left != 0 {
+		if k := r.counters(); k.Established != 1 || k.Cut+k.Finished+k.Abandoned != 0 {
 			t.Fatalf("%+v", k)
 		}
 		send(b, isup.Message{Type: isup.CQM, CIC: 1, Range: 1})
@@ -59,7 +59,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		c := r.raw(902)
 		time.Sleep(time.Second)
-		if k := r.counters(); k.Cut+k.Finished+k.Left != 0 || k.Pending != 1 {
+		if k := r.counters(); k.Cut+k.Finished+k.Abandoned != 0 || k.Pending != 1 {
 			t.Fatalf("%+v", k)
 		}
 		send(c, isup.Message{Type: isup.REL, CIC: 1, Cause: isup.CauseNormal})
--- a/emulator/client.go
+++ b/emulator/client.go
@@ -50,7 +50,15 @@
 }
 
 // ClientCounts are totals of a client.
-type ClientCounts struct{ Tries, Rang, Stood, Refused, GivenUp, RangOut, Cut, NoCircuit, NotConnected int }
+type ClientCounts struct {
+	Tries                        int
+	Alerted                      int `json:"Rang"`
+	Answered                     int `json:"Stood"`
+	Refused                      int
+	Abandoned                    int `json:"GivenUp"`
+	AbandonedRinging             int `json:"RangOut"`
+	Cut, NoCircuit, NotConnected int
+}
 
 type clState uint8
 
@@ -267,7 +275,7 @@
 	k.timer = time.AfterFunc(call.Patience, func() {
 		c.do(func() {
 			if c.calls[cic] == k && k.state == clWaiting && !k.rings {
-				c.Counts.GivenUp++
+				c.Counts.Abandoned++
 				c.leave(k, isup.CauseNormal)
 				c.again(k.Call)
 			}
@@ -278,7 +286,7 @@
 // ringing lets a call ring as long as its caller likes.
 func (c *Client) ringing(k *clCall) {
 	k.rings = true
-	c.Counts.Rang++
+	c.Counts.Alerted++
 	k.timer.Stop()
 	if k.Ring <= 0 {
 		k.Ring = time.Minute
@@ -286,7 +294,7 @@
 	k.timer = time.AfterFunc(k.Ring, func() {
 		c.do(func() {
 			if c.calls[k.cic] == k && k.state == clWaiting {
-				c.Counts.RangOut++
+				c.Counts.AbandonedRinging++
 				c.leave(k, isup.CauseNormal)
 			}
 		})
@@ -323,7 +331,7 @@
 		if k == nil || k.state != clWaiting {
 			return
 		}
-		c.Counts.Stood++
+		c.Counts.Answered++
 		k.state = clStanding
 		k.timer.Stop()
 		k.timer = time.AfterFunc(k.Hold, func() {
--- a/emulator/switch.go
+++ b/emulator/switch.go
@@ -321,8 +321,8 @@
 	})
 }
 
-// Standing is the number of calls that stand here and are not in transit.
-func (s *Switch) Standing() int {
+// Established is the number of calls that stand here and are not in transit.
+func (s *Switch) Established() int {
 	n := make(chan int, 1)
 	s.do(func() {
 		k := 0
--- a/emulator/switchset/switchset.go
+++ b/emulator/switchset/switchset.go
@@ -157,14 +157,14 @@
 	return s, nil
 }
 
-// Standing are the calls that stand at each switch, by point code in order.
-func (s *Set) Standing() (pcs []uint32, n []int) {
+// Established are the calls that stand at each switch, by point code in order.
+func (s *Set) Established() (pcs []uint32, n []int) {
 	for pc := range s.Switches {
 		pcs = append(pcs, pc)
 	}
 	slices.Sort(pcs)
 	for _, pc := range pcs {
-		n = append(n, s.Switches[pc].Standing())
+		n = append(n, s.Switches[pc].Established())
 	}
 	return pcs, n
 }
--- a/emulator/switchset/switchset_test.go
+++ b/emulator/switchset/switchset_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if pcs, n := s.Standing(); len(pcs) != 2 || pcs[0] != 101 || n[0]+n[1] != 0 || s.Addrs[102] == "" {
+	if pcs, n := s.Established(); len(pcs) != 2 || pcs[0] != 101 || n[0]+n[1] != 0 || s.Addrs[102] == "" {
 		t.Errorf("%v %v %v", pcs, n, s.Addrs)
 	}
 	taken := *c
--- a/hooks/run.go
+++ b/hooks/run.go
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// Late notes that a call has gone on without an answer of the hooks of a kind.
-func (s *Set) Late(kind string) {
+// CountTimeout notes that a call has gone on without an answer of the hooks of a kind.
+func (s *Set) CountTimeout(kind string) {
 	lock.Lock()
 	defer lock.Unlock()
 	for _, h := range s.byKind[kind] {
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -208,11 +208,11 @@
 		for _, c := range row {
 			t := c.Totals()
 			res.Clients.Tries += t.Tries
-			res.Clients.Stood += t.Stood
+			res.Clients.Answered += t.Answered
 			res.Clients.Refused += t.Refused
-			res.Clients.GivenUp += t.GivenUp
-			res.Clients.Rang += t.Rang
-			res.Clients.RangOut += t.RangOut
+			res.Clients.Abandoned += t.Abandoned
+			res.Clients.Alerted += t.Alerted
+			res.Clients.AbandonedRinging += t.AbandonedRinging
 			res.Clients.Cut += t.Cut
 			res.Clients.NoCircuit += t.NoCircuit
 			res.Clients.NotConnected += t.NotConnected
@@ -308,7 +308,7 @@
 			src = w.opt.HooksOf(i)
 		}
 		if len(src) > 0 {
-			if err := dm.PutHooks(src); err != nil {
+			if err := dm.InstallHooks(src); err != nil {
 				return err
 			}
 		}
