--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,5 +1,5 @@
 // Package controller is one call controller without its sockets: frames and the time go in, frames come out. It keeps
-// the call table, the circuits and the timers, tells package brain each event and does what that says. It makes no
+// the call table, the circuits and the timers, tells package policy each event and does what that says. It makes no
 // choice of its own of routes, windows, holds, refusals or further attempts.
 //
 // See docs/design/controller.md for the network that it stands in and for what each message means to it.
@@ -12,12 +12,12 @@
 	"slices"
 	"time"
 
-	"github.com/umbergauge/umbergauge/admit"
-	"github.com/umbergauge/umbergauge/brain"
+	"github.com/umbergauge/umbergauge/admission"
 	"github.com/umbergauge/umbergauge/hooks"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/m3ua"
 	"github.com/umbergauge/umbergauge/numbering"
+	"github.com/umbergauge/umbergauge/policy"
 	"github.com/umbergauge/umbergauge/script"
 	"github.com/umbergauge/umbergauge/timer"
 	"github.com/umbergauge/umbergauge/trunk"
@@ -26,11 +26,11 @@
 // Config is what a controller is told when it starts.
 type Config struct {
 	PointCode uint32
-	Network   byte         // network indicator of DATA
-	Brain     brain.Config // Self is taken from PointCode
-	Exchanges []Exchange   // the own one among them
-	Classes   []Class      // in the order of Brain.Classes
-	Tenants   []string     // names, in the order of Brain.Tenants
+	Network   byte          // network indicator of DATA
+	Policy    policy.Config // Self is taken from PointCode
+	Exchanges []Exchange    // the own one among them
+	Classes   []Class       // in the order of Brain.Classes
+	Tenants   []string      // names, in the order of Brain.Tenants
 
 	AnswerMargin time.Duration // a final answer leaves so long before the caller gives up, for its way
 	CutMemory    time.Duration // a call that was cut and comes again is known as such so long
@@ -46,29 +46,29 @@
 	Recovery       time.Duration
 	RecoveryOctets int
 
-	// Admit is the door in front of the module: limits of each client and of all, and of each tenant.
-	Admit  admit.Config
-	Tenant admit.Limits
+	// Admission is the door in front of the module: limits of each client and of all, and of each tenant.
+	Admission       admission.Config
+	TenantAdmission admission.Limits
 
 	// Hooks are the scripts' hooks; nil: there are none.
 	Hooks Hooks
 	// HookDeadline is how long a call waits for its hooks, before it goes on as without them.
 	HookDeadline time.Duration
 
-	// Module makes the module; nil: brain.New. Another is for comparisons only, on days that are played.
-	Module func(brain.Config) (Module, error)
+	// Engine makes the module; nil: policy.New. Another is for comparisons only, on days that are played.
+	Engine func(policy.Config) (Engine, error)
 }
 
 // Hooks run scripts beside the controller. Its methods don't block.
 type Hooks interface {
 	// Live is the set that a call belongs to that comes now, or nil.
 	Live() *hooks.Set
-	// Ask hands an event to the hooks of a set; Core.Advise brings their answer, if it comes. false: they are too busy.
-	Ask(a Ask) bool
+	// Submit hands an event to the hooks of a set; Core.Advise brings their answer, if it comes. false: they are too busy.
+	Submit(a HookRequest) bool
 }
 
-// Ask is a question to hooks.
-type Ask struct {
+// HookRequest is a question to hooks.
+type HookRequest struct {
 	Call  uint64
 	Seq   uint32 // names the question among those of its call
 	Set   *hooks.Set
@@ -76,10 +76,10 @@
 	Event script.Event
 }
 
-// Module decides. In the program it is *brain.Controller.
-type Module interface {
-	Handle(now time.Duration, ev brain.Event, out []brain.Action) []brain.Action
-	View(out []brain.View) []brain.View
+// Engine decides. In the program it is *policy.Engine.
+type Engine interface {
+	Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action
+	View(out []policy.View) []policy.View
 }
 
 // Exchange is one exchange as settings know it.
@@ -99,22 +99,22 @@
 	Ring       time.Duration   // ... and then they let it ring so long; 0: 60 s
 }
 
-// Assoc names an association.
-type Assoc uint32
+// AssocID names an association.
+type AssocID uint32
 
-// Kind tells whom an association leads to.
-type Kind uint8
+// PeerKind tells whom an association leads to.
+type PeerKind uint8
 
 // The kinds.
 const (
-	Client    Kind = iota
-	FarSwitch      // the switch of another exchange
-	OwnSwitch      // the own one
+	Client    PeerKind = iota
+	FarSwitch          // the switch of another exchange
+	OwnSwitch          // the own one
 )
 
 // Peer is the other end of an association.
 type Peer struct {
-	Kind    Kind
+	Kind    PeerKind
 	PC      uint32 // of a switch
 	Address string // of a switch: where it was reached
 	Tenant  int    // of a client
@@ -132,15 +132,15 @@
 // Port is where a controller's frames go. Its methods don't block.
 type Port interface {
 	// Send queues a frame, which is copied; false: the queue is full or the association is gone.
-	Send(a Assoc, frame []byte) bool
+	Send(a AssocID, frame []byte) bool
 	// Unsent takes the frames that were queued on an association which is lost, and never handed to its connection.
-	Unsent(a Assoc) []byte
+	Unsent(a AssocID) []byte
 	// Close ends an association that is of no use any more; Down follows.
-	Close(a Assoc, why string)
-	// Ended tells of each call that has ended or been answered.
-	Ended(e Ending)
-	// Listed tells of each change of the list of exchanges.
-	Listed(e brain.Entry, cold bool)
+	Close(a AssocID, why string)
+	// CallEnded tells of each call that has ended or been answered.
+	CallEnded(e CallRecord)
+	// ExchangeChanged tells of each change of the list of exchanges.
+	ExchangeChanged(e policy.Entry, cold bool)
 }
 
 // Outcome is how a call came out.
@@ -148,20 +148,20 @@
 
 // The outcomes.
 const (
-	Stands   Outcome = iota // answered
-	Refused                 // the module's Refuse, or a call that cannot be routed at all
-	Failed                  // the module's Fail
-	Left                    // the caller left before an answer
-	Finished                // stood, and was hung up
-	Cut                     // stood, and was cut
+	Answered  Outcome = iota // answered
+	Refused                  // the module's Refuse, or a call that cannot be routed at all
+	Failed                   // the module's Fail
+	Abandoned                // the caller left before an answer
+	Finished                 // stood, and was hung up
+	Cut                      // stood, and was cut
 )
 
 func (o Outcome) String() string {
 	return [...]string{"stands", "refused", "failed", "left", "finished", "cut"}[o]
 }
 
-// Ending is one line of a call's life.
-type Ending struct {
+// CallRecord is one line of a call's life.
+type CallRecord struct {
 	Outcome  Outcome
 	Call     uint64
 	Class    int
@@ -182,11 +182,13 @@
 
 // Counters are totals since the start.
 type Counters struct {
-	Offered, Transit, Attempts, Established, Refused, Failed, Left, Finished, Cut uint64
-	TimedOut, NoContact, NotSent, LateAnswers, Malformed, Unexpected, QueueFull   uint64
-	Alerted, NoAnswer, Pending                                                    uint64
-	KeptOut                                                                       uint64
-	HookAsked, HookLate, HookBusy, HookRefused                                    uint64
+	Offered, Transit, Attempts, Established, Refused, Failed                    uint64
+	Abandoned                                                                   uint64 `json:"Left"`
+	Finished, Cut                                                               uint64
+	TimedOut, NoContact, NotSent, LateAnswers, Malformed, Unexpected, QueueFull uint64
+	Alerted, NoAnswer, Pending                                                  uint64
+	NotAdmitted                                                                 uint64 `json:"KeptOut"`
+	HookAsked, HookLate, HookBusy, HookRefused                                  uint64
 }
 
 type phase uint8
@@ -216,12 +218,12 @@
 	sentAt   time.Duration
 	timeOut  timer.Handle
 	via      uint32
-	cut      bool          // it stood, was cut and comes again
-	door     *admit.Client // its client's account; nil in transit
-	account  int           // its client's tenant, whatever hooks make of it
-	progress bool          // ACM has been passed back
-	rings    bool          // the attempt out has passed ACM: the processor's part is over
-	rangAt   time.Duration // when the caller was first told so; 0: not yet
+	cut      bool              // it stood, was cut and comes again
+	door     *admission.Client // its client's account; nil in transit
+	account  int               // its client's tenant, whatever hooks make of it
+	progress bool              // ACM has been passed back
+	rings    bool              // the attempt out has passed ACM: the processor's part is over
+	rangAt   time.Duration     // when the caller was first told so; 0: not yet
 	cause    isup.Cause
 	loc      isup.Location
 
@@ -255,11 +257,11 @@
 }
 
 type assoc struct {
-	id   Assoc
+	id   AssocID
 	peer Peer
 	far  *far
 	legs map[uint64]*leg // of a client
-	door *admit.Client
+	door *admission.Client
 	// server is the client that the association is one of several of, and shares legs and door with; nil: it has no other.
 	server *server
 }
@@ -279,7 +281,7 @@
 	assoc  *assoc
 	group  *trunk.Group // nil: no group
 	dirty  bool         // its circuits have changed since the module was told
-	health brain.Health
+	health policy.Health
 	// launched is the start that the module was told; doubt: signalling was lost since, so it may have started anew.
 	launched time.Duration
 	doubt    bool
@@ -308,7 +310,7 @@
 	seq  uint32
 	id   uint64
 	far  *far
-	wake trunk.Wake
+	wake trunk.TimerID
 	leg  *leg
 	as   *server
 }
@@ -326,7 +328,7 @@
 
 	cfg       Config
 	port      Port
-	module    Module
+	module    Engine
 	now       time.Duration
 	wheel     *timer.Wheel[alarm]
 	calls     map[uint64]*call
@@ -336,17 +338,17 @@
 	fars      []*far
 	byPC      map[uint32]*far
 	byAddr    map[string]*far
-	assocs    map[Assoc]*assoc
+	assocs    map[AssocID]*assoc
 	servers   map[string]*server
 	routed    []uint32
-	door      *admit.Door
-	tenants   *admit.Door
-	accounts  []*admit.Client // of tenants
+	door      *admission.Limiter
+	tenants   *admission.Limiter
+	accounts  []*admission.Client // of tenants
 	own       *assoc
 	classOf   [256]uint8
 	dirty     []*far
-	events    []brain.Event
-	actions   []brain.Action
+	events    []policy.Event
+	actions   []policy.Action
 	told      int // of events
 	telling   bool
 	draining  bool
@@ -366,18 +368,18 @@
 
 // New makes a controller. now is the present time, which must be above zero.
 func New(cfg Config, port Port, now time.Duration) (*Core, error) {
-	cfg.Brain.Self = int(cfg.PointCode)
-	var module Module
+	cfg.Policy.Self = int(cfg.PointCode)
+	var module Engine
 	var err error
-	if cfg.Module != nil {
-		module, err = cfg.Module(cfg.Brain)
+	if cfg.Engine != nil {
+		module, err = cfg.Engine(cfg.Policy)
 	} else {
-		module, err = brain.New(cfg.Brain)
+		module, err = policy.New(cfg.Policy)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if len(cfg.Classes) != len(cfg.Brain.Classes) {
+	if len(cfg.Classes) != len(cfg.Policy.Classes) {
 		return nil, errors.New("the classes differ from the module's")
 	}
 	if cfg.MaxCalls <= 0 {
@@ -397,11 +399,11 @@
 		def(&cfg.Classes[i].Ring, time.Minute)
 	}
 	c := &Core{cfg: cfg, port: port, module: module, now: now, wheel: timer.New[alarm](now, time.Millisecond),
-		calls: map[uint64]*call{}, byPC: map[uint32]*far{}, byAddr: map[string]*far{}, assocs: map[Assoc]*assoc{}, servers: map[string]*server{},
+		calls: map[uint64]*call{}, byPC: map[uint32]*far{}, byAddr: map[string]*far{}, assocs: map[AssocID]*assoc{}, servers: map[string]*server{},
 		cuts: map[pair]time.Duration{}}
-	c.door, c.tenants = admit.New(cfg.Admit), admit.New(admit.Config{Client: cfg.Tenant})
+	c.door, c.tenants = admission.New(cfg.Admission), admission.New(admission.Config{Client: cfg.TenantAdmission})
 	for range cfg.Tenants {
-		c.accounts = append(c.accounts, c.tenants.Join(now))
+		c.accounts = append(c.accounts, c.tenants.AddClient(now))
 	}
 	for i, cl := range cfg.Classes {
 		for _, cat := range cl.Categories {
@@ -411,17 +413,17 @@
 	if err := c.adopt(cfg.Exchanges); err != nil {
 		return nil, err
 	}
-	entries := make([]brain.Entry, 0, len(c.fars))
+	entries := make([]policy.Entry, 0, len(c.fars))
 	for _, f := range c.fars {
 		entries = append(entries, f.entry())
 	}
 	for _, x := range cfg.Exchanges {
 		if x.PointCode == cfg.PointCode {
 			c.ownAddr = x.Address
-			entries = append(entries, brain.Entry{Address: x.Address, PointCode: int(x.PointCode)})
+			entries = append(entries, policy.Entry{Address: x.Address, PointCode: int(x.PointCode)})
 		}
 	}
-	c.tell(brain.List{Whole: true, Entries: entries})
+	c.tell(policy.List{Full: true, Entries: entries})
 	return c, nil
 }
 
@@ -477,7 +479,7 @@
 	if err := c.adopt(exchanges); err != nil {
 		return err
 	}
-	var entries []brain.Entry
+	var entries []policy.Entry
 	for _, f := range c.fars[known:] {
 		f.launched, f.doubt = now, true // nothing is known of it: taken for cold
 		entries = append(entries, f.entry())
@@ -487,18 +489,18 @@
 }
 
 // listed tells the module of changes of the list, and the hooks.
-func (c *Core) listed(entries ...brain.Entry) {
+func (c *Core) listed(entries ...policy.Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	c.tell(brain.List{Entries: entries})
+	c.tell(policy.List{Entries: entries})
 	for _, e := range entries {
-		c.port.Listed(e, e.Launched > 0 && c.now < e.Launched+c.cfg.Brain.WarmUp)
+		c.port.ExchangeChanged(e, e.Launched > 0 && c.now < e.Launched+c.cfg.Policy.WarmUp)
 	}
 }
 
-func (f *far) entry() brain.Entry {
-	return brain.Entry{Address: f.Address, PointCode: int(f.PointCode), Health: f.health, Launched: f.launched}
+func (f *far) entry() policy.Entry {
+	return policy.Entry{Address: f.Address, PointCode: int(f.PointCode), Health: f.health, Launched: f.launched}
 }
 
 // Next is the time at which Tick is due, or ok is false.
@@ -510,21 +512,21 @@
 	c.wheel.Advance(now, func(a alarm) {
 		switch a.kind {
 		case moduleTimer:
-			c.tell(brain.Timer{ID: a.id})
+			c.tell(policy.Timer{ID: a.id})
 		case attemptTimer:
 			if k := c.calls[a.id]; k != nil && k.phase == offered && k.to != nil {
 				if k.rings { // T9, or as long as its caller lets it ring
 					c.Counters.NoAnswer++
 					c.abandon(k, isup.CauseNoAnswer)
-					c.returned(k, brain.TimedOut, brain.NoAnswer, false)
+					c.returned(k, policy.TimedOut, policy.NoAnswer, false)
 					break
 				}
 				c.Counters.TimedOut++
 				c.abandon(k, isup.CauseTimer)
-				c.returned(k, brain.TimedOut, brain.NoReason, false)
+				c.returned(k, policy.TimedOut, policy.NoReason, false)
 			}
 		case trunkTimer:
-			a.far.group.Alarm(a.wake)
+			a.far.group.TimerExpired(a.wake)
 			c.acts(a.far)
 		case legTimer:
 			c.repeatRelease(a.leg)
@@ -549,28 +551,28 @@
 		if f.heard {
 			r.Wait, f.heard = f.wait.Seconds(), false
 		}
-		c.tell(brain.Status{Exchange: f.Address, OK: true, Report: r})
+		c.tell(policy.Status{Exchange: f.Address, OK: true, Report: r})
 	}
 	c.dirty = c.dirty[:0]
 	if c.ownAddr != "" && now >= c.lateTold+lateEvery {
 		c.lateTold = now
 		r := unknown
-		r.Wait, r.HoldBack = (c.late / time.Duration(max(1, c.lateOf))).Seconds(), c.ownHold
+		r.Wait, r.Reduction = (c.late / time.Duration(max(1, c.lateOf))).Seconds(), c.ownHold
 		c.late, c.lateOf = 0, 0
-		c.tell(brain.Status{Exchange: c.ownAddr, OK: true, Report: r})
+		c.tell(policy.Status{Exchange: c.ownAddr, OK: true, Report: r})
 	}
 }
 
 // lateEvery is how often the module is told the own lateness.
 const lateEvery = 500 * time.Millisecond
 
-// Late notes how long events have waited for the decision goroutine: the own lateness, of n of them together.
-func (c *Core) Late(sum time.Duration, n int) { c.late, c.lateOf = c.late+sum, c.lateOf+n }
+// RecordQueueDelay notes how long events have waited for the decision goroutine: the own lateness, of n of them together.
+func (c *Core) RecordQueueDelay(sum time.Duration, n int) { c.late, c.lateOf = c.late+sum, c.lateOf+n }
 
 // unknown is a report that tells nothing.
-var unknown = brain.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, HoldBack: -1}
+var unknown = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}
 
-func (f *far) report() brain.Report {
+func (f *far) report() policy.Report {
 	r := unknown
 	if f.group != nil {
 		r.Free, r.Size = float64(f.group.Free()), float64(f.group.Size())
@@ -589,7 +591,7 @@
 
 // tell hands events to the module, one after the other, and carries out what it says. A panic on the way leaves by here,
 // but not before the events behind the one that set it off have been told: others' calls hang on them.
-func (c *Core) tell(ev brain.Event) {
+func (c *Core) tell(ev policy.Event) {
 	c.events = append(c.events, ev)
 	if c.telling {
 		return
@@ -614,21 +616,21 @@
 		c.actions = c.module.Handle(c.now, ev, c.actions[:0])
 		for _, a := range c.actions {
 			switch a := a.(type) {
-			case brain.SetUp:
+			case policy.SetUp:
 				c.setUp(a)
-			case brain.Refuse:
+			case policy.Refuse:
 				c.final(a.Call, Refused)
-			case brain.Fail:
+			case policy.Fail:
 				c.final(a.Call, Failed)
-			case brain.SetTimer:
+			case policy.SetTimer:
 				c.wheel.Set(c.now+a.After, alarm{kind: moduleTimer, id: a.ID})
 			}
 		}
 	}
 }
 
-// Up takes an association that is active now.
-func (c *Core) Up(now time.Duration, id Assoc, p Peer) {
+// AssocUp takes an association that is active now.
+func (c *Core) AssocUp(now time.Duration, id AssocID, p Peer) {
 	c.now = now
 	a := &assoc{id: id, peer: p}
 	switch p.Kind {
@@ -640,7 +642,7 @@
 		if c.assocs[id] != nil { // it is active already
 			return
 		}
-		a.legs, a.door = map[uint64]*leg{}, c.door.Join(now)
+		a.legs, a.door = map[uint64]*leg{}, c.door.AddClient(now)
 		if p.Override && p.ASP != 0 {
 			c.supersede(now, p.ASP)
 		}
@@ -651,7 +653,7 @@
 			return
 		}
 		if f.assoc != nil { // an old association that has not been told dead yet
-			c.Down(now, f.assoc.id)
+			c.AssocDown(now, f.assoc.id)
 		}
 		a.far, f.assoc = f, a
 		if p.Address != f.Address {
@@ -687,7 +689,7 @@
 
 // supersede ends every other association of a client: their calls are over before the new one brings any.
 func (c *Core) supersede(now time.Duration, asp uint32) {
-	var old []Assoc
+	var old []AssocID
 	for id, a := range c.assocs {
 		if a.peer.Kind == Client && a.peer.ASP == asp {
 			old = append(old, id)
@@ -696,7 +698,7 @@
 	slices.Sort(old)
 	for _, id := range old {
 		c.port.Close(id, "the client has come again")
-		c.Down(now, id)
+		c.AssocDown(now, id)
 	}
 }
 
@@ -711,7 +713,7 @@
 	if f.seen || f.doubt {
 		f.launched, f.doubt = c.now, false
 	}
-	if f.health == brain.Ready {
+	if f.health == policy.Ready {
 		c.listed(f.entry())
 	}
 }
@@ -724,8 +726,8 @@
 	}
 }
 
-// Down takes the loss of an association, with all that was on it.
-func (c *Core) Down(now time.Duration, id Assoc) {
+// AssocDown takes the loss of an association, with all that was on it.
+func (c *Core) AssocDown(now time.Duration, id AssocID) {
 	c.now = now
 	a := c.assocs[id]
 	if a == nil {
@@ -738,7 +740,7 @@
 			c.serverDown(a)
 			return
 		}
-		defer c.door.Leave(a.door)
+		defer c.door.RemoveClient(a.door)
 		for _, l := range a.legs {
 			if l.call != nil {
 				k := l.call
@@ -768,18 +770,18 @@
 	if f.group == nil {
 		return
 	}
-	for len(f.group.Acts) > 0 {
-		acts := f.group.Acts
-		f.group.Acts = nil
+	for len(f.group.Actions) > 0 {
+		acts := f.group.Actions
+		f.group.Actions = nil
 		for i := range acts {
 			switch a := acts[i].(type) {
-			case trunk.ToFar:
+			case trunk.SendToFar:
 				c.toFar(f, &a.Msg)
-			case trunk.ToOwn:
+			case trunk.SendToOwn:
 				c.toOwn(f, &a.Msg)
-			case trunk.Alarm:
-				c.wheel.Set(c.now+a.After, alarm{kind: trunkTimer, far: f, wake: a.Wake})
-			case trunk.Lost:
+			case trunk.StartTimer:
+				c.wheel.Set(c.now+a.After, alarm{kind: trunkTimer, far: f, wake: a.TimerID})
+			case trunk.CircuitLost:
 				c.lost(f, a)
 			}
 		}
@@ -801,7 +803,7 @@
 }
 
 // send queues a frame; an association whose queue is full is of no use to its calls.
-func (c *Core) send(id Assoc, frame []byte) bool {
+func (c *Core) send(id AssocID, frame []byte) bool {
 	if c.port.Send(id, frame) {
 		return true
 	}
@@ -828,7 +830,7 @@
 }
 
 // Handle takes one message of an association that is up: DATA, SSNM or NTFY.
-func (c *Core) Handle(now time.Duration, id Assoc, m *m3ua.Message) {
+func (c *Core) Handle(now time.Duration, id AssocID, m *m3ua.Message) {
 	c.now = now
 	a := c.assocs[id]
 	if a == nil {
@@ -886,7 +888,7 @@
 
 // destinations takes word of the state of exchanges: the list, and congestion.
 func (c *Core) destinations(a *assoc, m *m3ua.Message) {
-	var entries []brain.Entry
+	var entries []policy.Entry
 	for _, p := range m.Affected {
 		if m.Kind == m3ua.SCON && a.peer.Kind == OwnSwitch && p.PC == c.cfg.PointCode { // its own: it is in every call's path
 			c.ownHold = float64(m.Congestion) / 3
@@ -901,18 +903,18 @@
 			}
 			if m.Kind == m3ua.SCON {
 				r := f.report()
-				r.HoldBack = float64(m.Congestion) / 3
-				c.tell(brain.Status{Exchange: f.Address, OK: true, Report: r})
+				r.Reduction = float64(m.Congestion) / 3
+				c.tell(policy.Status{Exchange: f.Address, OK: true, Report: r})
 				continue
 			}
-			health := brain.Ready
+			health := policy.Ready
 			switch m.Kind {
 			case m3ua.DUNA:
-				health = brain.Gone
+				health = policy.Gone
 			case m3ua.DRST:
-				health = brain.Draining
+				health = policy.Draining
 			}
-			if health == brain.Ready && f.health == brain.Gone && f.assoc == nil {
+			if health == policy.Ready && f.health == policy.Gone && f.assoc == nil {
 				f.doubt = true // whether it has started anew shows when it is reached
 			}
 			if health != f.health {
@@ -925,18 +927,18 @@
 }
 
 // returned tells the module that the attempt out has ended. The circuit has been dealt with.
-func (c *Core) returned(k *call, cause brain.Cause, reason brain.Reason, final bool) {
+func (c *Core) returned(k *call, cause policy.Cause, reason policy.Reason, final bool) {
 	f := k.to
 	c.wheel.Stop(k.timeOut)
 	k.to = nil
 	c.silence(k)
-	if cause != brain.Failed && cause != brain.NotSetUp {
+	if cause != policy.Failed && cause != policy.NotSetUp {
 		k.cause, k.loc = told(cause, reason), isup.LocationNetwork
 	}
-	if k.from != nil && cause == brain.NotSent || cause == brain.NoContact {
+	if k.from != nil && cause == policy.NotSent || cause == policy.NoContact {
 		k.loc = isup.LocationTransit
 	}
-	c.tell(brain.Returned{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Final: final, Delay: c.now - k.sentAt,
+	c.tell(policy.AttemptEnded{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Final: final, Delay: c.now - k.sentAt,
 		Cause: cause, Reason: reason})
 }
 
@@ -988,23 +990,23 @@
 	c.wheel.Stop(k.timeOut)
 	end := min(c.now+c.cfg.T9, k.rangAt+c.cfg.Classes[k.class].Ring-c.cfg.AnswerMargin)
 	k.timeOut = c.wheel.Set(max(c.now, end), alarm{kind: attemptTimer, id: k.id})
-	c.tell(brain.Alerting{Call: k.id, Attempt: k.attempts - 1, Exchange: k.to.Address, Delay: c.now - k.sentAt})
+	c.tell(policy.Alerting{Call: k.id, Attempt: k.attempts - 1, Exchange: k.to.Address, Delay: c.now - k.sentAt})
 }
 
 // setUp carries out an attempt. It is the only place that sends an IAM, and never for a call that is over or has an
 // attempt out, whatever is asked of it.
-func (c *Core) setUp(a brain.SetUp) {
+func (c *Core) setUp(a policy.SetUp) {
 	k, f := c.calls[a.Call], c.byAddr[a.Exchange]
 	if k == nil || k.phase != offered || k.to != nil || f == nil {
 		c.Counters.NotSent++
-		c.tell(brain.Returned{Call: a.Call, Exchange: a.Exchange, Final: k == nil || k.phase != offered, Cause: brain.NotSent})
+		c.tell(policy.AttemptEnded{Call: a.Call, Exchange: a.Exchange, Final: k == nil || k.phase != offered, Cause: policy.NotSent})
 		return
 	}
 	k.attempts++
 	k.to, k.sentAt, k.via = f, c.now, f.PointCode
 	c.Counters.Attempts++
-	not := func(cause brain.Cause, reason brain.Reason) {
-		if cause == brain.NoContact {
+	not := func(cause policy.Cause, reason policy.Reason) {
+		if cause == policy.NoContact {
 			c.Counters.NoContact++
 		} else {
 			c.Counters.NotSent++
@@ -1014,20 +1016,20 @@
 	}
 	if c.own == nil {
 		// Without the own switch the seizures of the other ends are not seen, and no circuit can be told free.
-		not(brain.NotSent, brain.ProcessorFull)
+		not(policy.NotSent, policy.ProcessorFull)
 		return
 	}
 	if f.assoc == nil {
-		not(brain.NoContact, brain.NoReason)
+		not(policy.NoContact, policy.NoReason)
 		return
 	}
 	if f.group == nil {
-		not(brain.NotSent, brain.NoCircuit)
+		not(policy.NotSent, policy.NoCircuit)
 		return
 	}
 	cic, ok := f.group.Seize(k.id)
 	if !ok {
-		not(brain.NotSent, brain.NoCircuit)
+		not(policy.NotSent, policy.NoCircuit)
 		return
 	}
 	m := k.iam
@@ -1036,7 +1038,7 @@
 	m.HasDelay, m.Delay = true, uint16(min(k.delay+c.now-k.arrived, math.MaxUint16*time.Millisecond)/time.Millisecond)
 	if !c.toFar(f, &m) {
 		f.group.Unseize(cic)
-		not(brain.NotSent, brain.NoReason)
+		not(policy.NotSent, policy.NoReason)
 		return
 	}
 	c.touch(f)
@@ -1099,8 +1101,8 @@
 		c.Counters.Refused++
 	case Failed:
 		c.Counters.Failed++
-	case Left:
-		c.Counters.Left++
+	case Abandoned:
+		c.Counters.Abandoned++
 	case Finished:
 		c.Counters.Finished++
 	case Cut:
@@ -1117,16 +1119,16 @@
 }
 
 func (c *Core) note(k *call, o Outcome, cause isup.Cause) {
-	e := Ending{Outcome: o, Call: k.id, Class: k.class, Tenant: k.tenant, Transit: k.from != nil, Called: k.iam.Called,
+	e := CallRecord{Outcome: o, Call: k.id, Class: k.class, Tenant: k.tenant, Transit: k.from != nil, Called: k.iam.Called,
 		To: k.dest, Via: k.via, Attempts: k.attempts, Cause: cause, After: c.now - k.arrived,
 		Calling: k.iam.Calling, Category: k.iam.Category, Set: k.set, Tags: k.tags}
-	if o == Stands {
+	if o == Answered {
 		e.SetUp = e.After
 		if k.rangAt > 0 {
 			e.SetUp = k.rangAt - k.arrived
 		}
 	}
-	c.port.Ended(e)
+	c.port.CallEnded(e)
 }
 
 // maxCuts bounds the memory of cut calls; the oldest goes first.
@@ -1170,8 +1172,8 @@
 // Open is the number of calls in the table.
 func (c *Core) Open() int { return len(c.calls) }
 
-// HangUp ends every standing call, before the daemon ends.
-func (c *Core) HangUp(now time.Duration) {
+// ReleaseAll ends every standing call, before the daemon ends.
+func (c *Core) ReleaseAll(now time.Duration) {
 	c.now = now
 	ids := make([]uint64, 0, len(c.calls))
 	for id, k := range c.calls {
@@ -1183,6 +1185,6 @@
 	for _, id := range ids {
 		k := c.calls[id]
 		c.answerNo(k, isup.CauseTemporary, isup.LocationNetwork)
-		c.endStanding(k, Cut, isup.CauseTemporary, brain.Reset)
+		c.endStanding(k, Cut, isup.CauseTemporary, policy.Reset)
 	}
 }
--- a/daemon/connect.go
+++ b/daemon/connect.go
@@ -13,7 +13,7 @@
 
 	"github.com/umbergauge/umbergauge/controller"
 	"github.com/umbergauge/umbergauge/internal/config"
-	"github.com/umbergauge/umbergauge/internal/owned"
+	"github.com/umbergauge/umbergauge/internal/taskgroup"
 	"github.com/umbergauge/umbergauge/m3ua"
 )
 
@@ -36,7 +36,7 @@
 	x := &p.cfg.Clients[i]
 	l.peer.Name, l.peer.Tenant = x.Name, p.cfg.Tenant(x.Tenant)
 	if len(x.Associations) > 0 {
-		l.peer.Server, l.peer.Mode = x.Name, config.Modes[x.Mode]
+		l.peer.Server, l.peer.Mode = x.Name, config.TrafficModes[x.Mode]
 	}
 	return true
 }
@@ -97,7 +97,7 @@
 func (d *Daemon) accept(ctx context.Context) {
 	// A storm of connections is spread by those who are turned away and try again.
 	handshakes := rate.NewLimiter(rate.Limit(d.cfg.Limits.Handshakes), max(1, int(d.cfg.Limits.Handshakes)))
-	owned.Accept(ctx, d.listener, func(err error) { d.log.Error().Err(err).Msg("accept") }, func(conn net.Conn) {
+	taskgroup.Accept(ctx, d.listener, func(err error) { d.log.Error().Err(err).Msg("accept") }, func(conn net.Conn) {
 		if int(d.clients.Add(1)) > d.cfg.Limits.Clients || !handshakes.Allow() {
 			d.clients.Add(-1)
 			d.metrics.turnedAway.Inc()
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -202,14 +202,14 @@
 			if v.Address == "" {
 				state = "own"
 			}
-			text = append(text, fmt.Sprintf("%-6d %-22s %-18s window %5.1f, held %d, load %.2f, awaiting an answer %d", v.PointCode, v.Address, state, v.Window, v.Held, v.Load, v.Out))
+			text = append(text, fmt.Sprintf("%-6d %-22s %-18s window %5.1f, held %d, load %.2f, awaiting an answer %d", v.PointCode, v.Address, state, v.Window, v.SlotsHeld, v.Load, v.Pending))
 		}
 	case "associations":
 		slices.Sort(links)
 		text = links
 	case "counters":
 		c := s.counters
-		text = []string{fmt.Sprintf("offered %d, in transit %d, stood %d, refused %d, failed %d, left %d, finished %d, cut %d", c.Offered, c.Transit, c.Established, c.Refused, c.Failed, c.Left, c.Finished, c.Cut),
+		text = []string{fmt.Sprintf("offered %d, in transit %d, stood %d, refused %d, failed %d, left %d, finished %d, cut %d", c.Offered, c.Transit, c.Established, c.Refused, c.Failed, c.Abandoned, c.Finished, c.Cut),
 			fmt.Sprintf("attempts %d, timed out %d, no contact %d, not sent %d, late answers %d", c.Attempts, c.TimedOut, c.NoContact, c.NotSent, c.LateAnswers),
 			fmt.Sprintf("malformed %d, unexpected %d, queue full %d", c.Malformed, c.Unexpected, c.QueueFull)}
 	default:
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -9,8 +9,8 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"github.com/umbergauge/umbergauge/brain"
 	"github.com/umbergauge/umbergauge/controller"
+	"github.com/umbergauge/umbergauge/policy"
 )
 
 // metrics are the daemon's figures for Prometheus. Totals and the module's view are read from the controller when they
@@ -53,12 +53,12 @@
 	return m
 }
 
-func (m *metrics) ended(e controller.Ending) {
+func (m *metrics) ended(e controller.CallRecord) {
 	if e.Class >= len(m.stands) {
 		return
 	}
 	m.outcomes.WithLabelValues(m.d.cfg.Classes[e.Class].Name, e.Outcome.String()).Inc()
-	if e.Outcome == controller.Stands {
+	if e.Outcome == controller.Answered {
 		m.stands[e.Class].Observe(e.SetUp.Seconds())
 		m.answers[e.Class].Observe(e.After.Seconds())
 	}
@@ -92,7 +92,7 @@
 		{"late_answers_total", "Answers after the own time-out.", c.LateAnswers},
 		{"transit_calls_total", "Calls taken in transit.", c.Transit},
 		{"queue_full_total", "Frames that found the queue of their association full.", c.QueueFull},
-		{"kept_out_total", "Set-ups that limits kept out.", c.KeptOut},
+		{"kept_out_total", "Set-ups that limits kept out.", c.NotAdmitted},
 		{"hooks_asked_total", "Questions to hooks.", c.HookAsked},
 		{"hooks_late_total", "Questions without an answer by the deadline.", c.HookLate},
 		{"hooks_busy_total", "Questions that found the hooks' queue full.", c.HookBusy},
@@ -130,7 +130,7 @@
 	open, waiting int
 	ringing       int
 	groups        []groupView
-	views         []brain.View
+	views         []policy.View
 }
 
 type groupView struct{ controller.GroupView }
--- a/standin/client.go
+++ b/emulator/client.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"context"
@@ -34,7 +34,7 @@
 // Client offers calls to one controller. Its methods may be called from any goroutine.
 type Client struct {
 	cfg    ClientConfig
-	net    *Net
+	net    *Network
 	events chan func()
 	quit   chan struct{}
 	wg     sync.WaitGroup
@@ -50,7 +50,15 @@
 }
 
 // ClientCounts are totals of a client.
-type ClientCounts struct{ Tries, Rang, Stood, Refused, GivenUp, RangOut, Cut, NoCircuit, NotConnected int }
+type ClientCounts struct {
+	Tries                        int
+	Alerted                      int `json:"Rang"`
+	Answered                     int `json:"Stood"`
+	Refused                      int
+	Abandoned                    int `json:"GivenUp"`
+	AbandonedRinging             int `json:"RangOut"`
+	Cut, NoCircuit, NotConnected int
+}
 
 type clState uint8
 
@@ -69,7 +77,7 @@
 }
 
 // NewClient makes a client that connects and stays connected until Close.
-func NewClient(n *Net, cfg ClientConfig) *Client {
+func NewClient(n *Network, cfg ClientConfig) *Client {
 	c := &Client{cfg: cfg, net: n, events: make(chan func(), 4096), quit: make(chan struct{}),
 		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.PC))), calls: map[uint16]*clCall{}}
 	c.wg.Add(2)
@@ -136,8 +144,8 @@
 	})
 }
 
-// Quiet ends all redialling, at the end of a day.
-func (c *Client) Quiet() { c.do(func() { c.stopped = true }) }
+// StopRedials ends all redialling, at the end of a day.
+func (c *Client) StopRedials() { c.do(func() { c.stopped = true }) }
 
 // Offer makes a call.
 func (c *Client) Offer(call Call) { c.do(func() { c.try(call) }) }
@@ -252,11 +260,11 @@
 	}
 	called, err := isup.ParseNumber(4, call.Called)
 	if err != nil {
-		panic(fmt.Sprintf("standin: called number %q", call.Called))
+		panic(fmt.Sprintf("emulator: called number %q", call.Called))
 	}
 	calling, err := isup.ParseNumber(4, call.Calling)
 	if err != nil {
-		panic(fmt.Sprintf("standin: calling number %q", call.Calling))
+		panic(fmt.Sprintf("emulator: calling number %q", call.Calling))
 	}
 	c.nextRef++
 	k := &clCall{Call: call, cic: cic}
@@ -267,7 +275,7 @@
 	k.timer = time.AfterFunc(call.Patience, func() {
 		c.do(func() {
 			if c.calls[cic] == k && k.state == clWaiting && !k.rings {
-				c.Counts.GivenUp++
+				c.Counts.Abandoned++
 				c.leave(k, isup.CauseNormal)
 				c.again(k.Call)
 			}
@@ -278,7 +286,7 @@
 // ringing lets a call ring as long as its caller likes.
 func (c *Client) ringing(k *clCall) {
 	k.rings = true
-	c.Counts.Rang++
+	c.Counts.Alerted++
 	k.timer.Stop()
 	if k.Ring <= 0 {
 		k.Ring = time.Minute
@@ -286,7 +294,7 @@
 	k.timer = time.AfterFunc(k.Ring, func() {
 		c.do(func() {
 			if c.calls[k.cic] == k && k.state == clWaiting {
-				c.Counts.RangOut++
+				c.Counts.AbandonedRinging++
 				c.leave(k, isup.CauseNormal)
 			}
 		})
@@ -323,7 +331,7 @@
 		if k == nil || k.state != clWaiting {
 			return
 		}
-		c.Counts.Stood++
+		c.Counts.Answered++
 		k.state = clStanding
 		k.timer.Stop()
 		k.timer = time.AfterFunc(k.Hold, func() {
--- a/standin/serve/serve.go
+++ b/emulator/switchset/switchset.go
@@ -1,5 +1,5 @@
-// Package serve runs stand-in switches from a file, so that a controller can be tried without a network around it.
-package serve
+// Package switchset runs stand-in switches from a file, so that a controller can be tried without a network around it.
+package switchset
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"slices"
 	"time"
 
+	"github.com/umbergauge/umbergauge/emulator"
 	"github.com/umbergauge/umbergauge/internal/config"
 	"github.com/umbergauge/umbergauge/isup"
 	"github.com/umbergauge/umbergauge/record"
-	"github.com/umbergauge/umbergauge/standin"
 )
 
 // Config is one or more switches. docs/operations/switch.md explains each key.
@@ -39,11 +39,11 @@
 	EarlyACM     bool          `yaml:"early_acm"`
 	HangUp       float64       `yaml:"hang_up"`
 	Hold         time.Duration `yaml:"hold"`
-	Thin         Thin          `yaml:"thin"`
+	CallFaults   CallFaults    `yaml:"thin"`
 }
 
-// Thin are shares of set-ups that meet a fault though the switch is well.
-type Thin struct {
+// CallFaults are shares of set-ups that meet a fault though the switch is well.
+type CallFaults struct {
 	Full   float64 `yaml:"full"`
 	Silent float64 `yaml:"silent"`
 	Reset  float64 `yaml:"reset"`
@@ -52,8 +52,8 @@
 
 // Class is how the numbers that callers of a category dial take calls.
 type Class struct {
-	Category        int `yaml:"category"`
-	standin.Ringing `yaml:",inline"`
+	Category         int `yaml:"category"`
+	emulator.Ringing `yaml:",inline"`
 }
 
 // Default has the values of keys that a file may leave out.
@@ -98,7 +98,7 @@
 		for _, p := range []struct {
 			key string
 			v   float64
-		}{{"hang_up", x.HangUp}, {"thin.full", x.Thin.Full}, {"thin.silent", x.Thin.Silent}, {"thin.reset", x.Thin.Reset}, {"thin.failed", x.Thin.Failed}} {
+		}{{"hang_up", x.HangUp}, {"thin.full", x.CallFaults.Full}, {"thin.silent", x.CallFaults.Silent}, {"thin.reset", x.CallFaults.Reset}, {"thin.failed", x.CallFaults.Failed}} {
 			v.Must(p.v >= 0 && p.v <= 1, key(p.key), "%v; 0 to 1 can be", p.v)
 			sum += p.v
 		}
@@ -117,7 +117,7 @@
 // Set is a running set of switches.
 type Set struct {
 	Addrs    map[uint32]string // where each listens
-	Switches map[uint32]*standin.Switch
+	Switches map[uint32]*emulator.Switch
 }
 
 // Start starts the switches. On an error none runs.
@@ -125,7 +125,7 @@
 	log := record.New()
 	log.Discard()
 	var nd net.Dialer
-	sn := &standin.Net{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
+	sn := &emulator.Network{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
 		Dial: func(ctx context.Context, a string) (net.Conn, error) { return nd.DialContext(ctx, "tcp", a) }}
 	sn.SetDelay(func(a, b uint32) time.Duration {
 		if a == b {
@@ -133,13 +133,13 @@
 		}
 		return c.Delay
 	})
-	ringing := map[isup.Category]standin.Ringing{}
+	ringing := map[isup.Category]emulator.Ringing{}
 	for _, r := range c.Ringing {
 		ringing[isup.Category(r.Category)] = r.Ringing
 	}
-	s := &Set{Addrs: map[uint32]string{}, Switches: map[uint32]*standin.Switch{}}
+	s := &Set{Addrs: map[uint32]string{}, Switches: map[uint32]*emulator.Switch{}}
 	for i, x := range c.Switches {
-		sw := standin.NewSwitch(sn, standin.SwitchConfig{PC: x.PointCode, Prefixes: x.Prefixes, Circuits: x.Circuits, Seed: c.Seed + uint64(i),
+		sw := emulator.NewSwitch(sn, emulator.SwitchConfig{PC: x.PointCode, Prefixes: x.Prefixes, Circuits: x.Circuits, Seed: c.Seed + uint64(i),
 			Rate: x.Rate, FollowWork: x.FollowWork, RejectWork: x.RejectWork, FullAfter: x.FullAfter, AnswersFirst: x.AnswersFirst,
 			EarlyACM: x.EarlyACM, HangUp: x.HangUp, Hold: x.Hold, Ringing: ringing, ColdShare: 0.3, WarmUp: 15 * time.Second})
 		s.Switches[x.PointCode] = sw
@@ -149,22 +149,22 @@
 			return nil, fmt.Errorf("switch %d: %w", x.PointCode, err)
 		}
 		s.Addrs[x.PointCode] = addr
-		for kind, share := range map[standin.Thin]float64{standin.ThinFull: x.Thin.Full, standin.ThinSilent: x.Thin.Silent,
-			standin.ThinReset: x.Thin.Reset, standin.ThinFailed: x.Thin.Failed} {
-			sw.Thin(kind, share)
+		for kind, share := range map[emulator.CallFault]float64{emulator.CallFaultFull: x.CallFaults.Full, emulator.CallFaultSilent: x.CallFaults.Silent,
+			emulator.CallFaultReset: x.CallFaults.Reset, emulator.CallFaultReleased: x.CallFaults.Failed} {
+			sw.SetCallFault(kind, share)
 		}
 	}
 	return s, nil
 }
 
-// Standing are the calls that stand at each switch, by point code in order.
-func (s *Set) Standing() (pcs []uint32, n []int) {
+// Established are the calls that stand at each switch, by point code in order.
+func (s *Set) Established() (pcs []uint32, n []int) {
 	for pc := range s.Switches {
 		pcs = append(pcs, pc)
 	}
 	slices.Sort(pcs)
 	for _, pc := range pcs {
-		n = append(n, s.Switches[pc].Standing())
+		n = append(n, s.Switches[pc].Established())
 	}
 	return pcs, n
 }
--- a/load/parts_test.go
+++ b/load/parts_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/umbergauge/umbergauge/standin"
+	"github.com/umbergauge/umbergauge/emulator"
 )
 
 // The parts of a load are the whole: each client once, the rate shared, no two seeds alike.
@@ -37,7 +37,7 @@
 func TestMerge(t *testing.T) {
 	var parts []Report
 	for _, ringing := range []time.Duration{time.Second, 3 * time.Second} {
-		b, err := json.Marshal(offer(t, 0, standin.Ringing{Median: ringing}))
+		b, err := json.Marshal(offer(t, 0, emulator.Ringing{Median: ringing}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Totals.Stood != parts[0].Totals.Stood+parts[1].Totals.Stood || m.Totals.Causes["1"] != parts[0].Totals.Causes["1"]+parts[1].Totals.Causes["1"] {
+	if m.Totals.Answered != parts[0].Totals.Answered+parts[1].Totals.Answered || m.Totals.Causes["1"] != parts[0].Totals.Causes["1"]+parts[1].Totals.Causes["1"] {
 		t.Errorf("%+v", m.Totals)
 	}
 	if m.AnswerUS.Max != parts[1].AnswerUS.Max || m.AnswerUS.P50 > 1_500_000 || m.AnswerUS.P90 < 2_900_000 {
