--- a/cmd/umbergauge/platform.go
+++ b/cmd/umbergauge/platform.go
@@ -12,13 +12,13 @@
 	"github.com/umbergauge/umbergauge/platform/node"
 )
 
-// runPlatform is the call controller on the users' platform. It stays in the foreground, listens where the platform says and
-// nowhere else, and writes its log to w.
+// runPlatform runs the call controller on the users' platform. It stays in the foreground, listens only on the address that the
+// platform gives, and writes its log to w.
 func runPlatform(ctx context.Context, level string, w io.Writer) error {
-	// Signals that come before the settings are read must not end the program. Each kind has room of its own: one that comes while
-	// another is dealt with is not lost, and of several reloads the last reads the newest file.
-	terms, interrupts, hangUps := make(chan os.Signal, 1), make(chan os.Signal, 2), make(chan os.Signal, 1)
-	for c, s := range map[chan os.Signal]os.Signal{terms: syscall.SIGTERM, interrupts: syscall.SIGINT, hangUps: syscall.SIGHUP} {
+	// Signals are caught before the settings are read, because an uncaught one would end the program. Each signal has its own
+	// buffered channel, so that a burst of one does not drop another; after several SIGHUP the last reload reads the newest file.
+	sigterm, sigint, sighup := make(chan os.Signal, 1), make(chan os.Signal, 2), make(chan os.Signal, 1)
+	for c, s := range map[chan os.Signal]os.Signal{sigterm: syscall.SIGTERM, sigint: syscall.SIGINT, sighup: syscall.SIGHUP} {
 		signal.Notify(c, s)
 		defer signal.Stop(c)
 	}
@@ -44,22 +44,22 @@
 		select {
 		case err := <-done:
 			return err
-		case <-terms: // again: the drain goes on, what was taken is owed its answer
+		case <-sigterm: // a second SIGTERM does not cut the drain short: accepted set-ups must be answered
 			n.Drain()
-		case <-interrupts: // a second one of who runs it by hand ends it at once
+		case <-sigint: // the second Ctrl-C in a terminal ends the program at once
 			n.Drain()
 			if interrupted {
 				cancel()
 			}
 			interrupted = true
-		case <-hangUps:
+		case <-sighup:
 			next, err := node.Load(file)
 			if err != nil {
-				log.Error().Err(err).Msg("new settings refused, the old ones stay")
+				log.Error().Err(err).Msg("reload failed, keeping the current settings")
 				continue
 			}
 			n.Reload(next)
-			log.Info().Str("nameserver", next.Nameserver).Msg("new settings")
+			log.Info().Str("nameserver", next.Nameserver).Msg("settings reloaded")
 		}
 	}
 }
--- a/cmd/umbergauge/platform_test.go
+++ b/cmd/umbergauge/platform_test.go
@@ -12,33 +12,36 @@
 	"time"
 )
 
-// syncLog is a log that can be read while it is written.
+// syncLog is a log that can be read while it is being written.
 type syncLog struct {
-	mu sync.Mutex
-	b  strings.Builder
+	mu      sync.Mutex
+	content strings.Builder
 }
 
 func (l *syncLog) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(b)
+	return l.content.Write(b)
 }
 
-func (l *syncLog) wait(t *testing.T, text string) {
+// waitFor waits until text is logged; after 5 s the test fails.
+func (l *syncLog) waitFor(t *testing.T, text string) {
 	t.Helper()
 	for range 500 {
 		l.mu.Lock()
-		found := strings.Contains(l.b.String(), text)
+		found := strings.Contains(l.content.String(), text)
 		l.mu.Unlock()
 		if found {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("%q was not logged: %s", text, l.b.String())
+	t.Fatalf("%q was not logged within 5 s: %s", text, l.content.String())
 }
 
-func TestPlatformSignals(t *testing.T) {
+// SIGHUP reloads the settings, also during a drain, and invalid settings leave the current ones in use. SIGTERM starts a drain,
+// which a second SIGTERM must not cut short.
+func TestPlatformReloadsAndDrainsOnSignals(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("GW_CONFIG", file)
 	t.Setenv("GW_LISTEN", "127.0.0.1:0")
@@ -50,64 +53,65 @@
 			t.Fatal(err)
 		}
 	}
-	good := `{"listen":"127.0.0.1:1","nameserver":"127.0.0.1:9","known":{},"settings":{"request_classes":[{"aim":1,"name":"a"}]}}`
-	write(good)
+	settings := `{"listen":"127.0.0.1:1","nameserver":"127.0.0.1:9","known":{},"settings":{"request_classes":[{"aim":1,"name":"a"}]}}`
+	write(settings)
 	var log syncLog
 	done := make(chan error, 1)
 	go func() { done <- runPlatform(context.Background(), "info", &log) }()
-	log.wait(t, `"started"`)
+	log.waitFor(t, `"started"`)
 	write(`{"listen":`)
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	log.wait(t, "the old ones stay")
-	write(strings.Replace(good, ":9", ":10", 1))
+	log.waitFor(t, "keeping the current settings")
+	write(strings.Replace(settings, ":9", ":10", 1))
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	log.wait(t, `"nameserver":"127.0.0.1:10"`)
+	log.waitFor(t, `"nameserver":"127.0.0.1:10"`)
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
-	log.wait(t, "draining")
-	write(strings.Replace(good, ":9", ":11", 1))
-	syscall.Kill(os.Getpid(), syscall.SIGHUP) // the name service may move in a drain
-	log.wait(t, `"nameserver":"127.0.0.1:11"`)
-	from := time.Now()
-	syscall.Kill(os.Getpid(), syscall.SIGTERM) // again: the drain goes on
-	if err := <-done; err != nil || time.Since(from) < time.Second {
-		t.Fatalf("%v after %v", err, time.Since(from))
+	log.waitFor(t, "draining")
+	write(strings.Replace(settings, ":9", ":11", 1))
+	syscall.Kill(os.Getpid(), syscall.SIGHUP) // the address of the name server may change during a drain
+	log.waitFor(t, `"nameserver":"127.0.0.1:11"`)
+	start := time.Now()
+	syscall.Kill(os.Getpid(), syscall.SIGTERM) // a second SIGTERM: the drain continues
+	if err := <-done; err != nil || time.Since(start) < time.Second {
+		t.Fatalf("%v after %v", err, time.Since(start))
 	}
-	log.wait(t, `"ended"`)
+	log.waitFor(t, `"ended"`)
 }
 
-// SIGTERM while the settings are read, behind a burst of SIGHUP, drains the controller once it runs; a second SIGINT ends it at once.
-func TestPlatformSignalsBeforeReady(t *testing.T) {
+// A SIGTERM that arrives after a burst of SIGHUP while the settings are still being read must drain the controller once it runs,
+// and a second SIGINT must end it at once.
+func TestPlatformHandlesSignalsDuringStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("GW_CONFIG", file)
 	t.Setenv("GW_LISTEN", "127.0.0.1:0")
-	if err := syscall.Mkfifo(file, 0o600); err != nil { // it is read when this test writes it
+	if err := syscall.Mkfifo(file, 0o600); err != nil { // the program blocks reading the settings until this test writes them
 		t.Fatal(err)
 	}
 	var log syncLog
 	done := make(chan error, 1)
 	go func() { done <- runPlatform(context.Background(), "info", &log) }()
-	f, err := os.OpenFile(file, os.O_WRONLY, 0) // opens when the program has opened it to read
+	f, err := os.OpenFile(file, os.O_WRONLY, 0) // blocks until the program has opened the file for reading
 	if err != nil {
 		t.Fatal(err)
 	}
-	os.Remove(file) // what reads the settings again finds a plain file
+	os.Remove(file) // a reload reads a regular file
 	if err := os.WriteFile(file, []byte("{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for range 8 { // a burst of reloads takes no room from what follows
+	for range 8 { // must not fill the queue of the SIGTERM that follows
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
 		time.Sleep(2 * time.Millisecond)
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	io.WriteString(f, `{"listen":"127.0.0.1:1","nameserver":"127.0.0.1:9","known":{},"settings":{"request_classes":[{"aim":1,"name":"a"}]}}`)
 	f.Close()
-	log.wait(t, "draining")
-	for from := time.Now(); ; { // two of a kind that come together are one
+	log.waitFor(t, "draining")
+	for start := time.Now(); ; { // repeated, because two pending signals of one kind are merged into one
 		syscall.Kill(os.Getpid(), syscall.SIGINT)
 		select {
 		case err := <-done:
-			if err != nil || time.Since(from) > time.Second {
-				t.Fatalf("%v after %v", err, time.Since(from))
+			if err != nil || time.Since(start) > time.Second {
+				t.Fatalf("%v after %v", err, time.Since(start))
 			}
 			return
 		case <-time.After(5 * time.Millisecond):
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a network in memory for tests: connections are buffered pipes, so that with testing/synctest whole
-// days are played in exact time and without sockets.
+// Package memnet is an in-memory network for tests. Connections are buffered pipes, so that under testing/synctest simulations of
+// whole days run in exact virtual time and without sockets.
 package memnet
 
 import (
@@ -18,10 +18,10 @@
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	next      int
+	nextPort  int
 }
 
-// Listen opens a listener; port 0 takes a free one.
+// Listen opens a listener; with port 0 it picks a free port.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -33,8 +33,8 @@
 		return nil, err
 	}
 	if port == "0" {
-		n.next++
-		addr = net.JoinHostPort(host, fmt.Sprint(10000+n.next))
+		n.nextPort++
+		addr = net.JoinHostPort(host, fmt.Sprint(10000+n.nextPort))
 	}
 	if n.listeners[addr] != nil {
 		return nil, errors.New("address in use")
@@ -44,7 +44,7 @@
 	return l, nil
 }
 
-// Dial connects to a listener.
+// Dial connects to the listener at addr.
 func (n *Network) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -106,45 +106,47 @@
 
 func (l *listener) Addr() net.Addr { return addr(l.addr) }
 
-// half is one direction of a connection.
-type half struct {
-	mu     sync.Mutex
-	buf    []byte
-	size   int
-	closed bool
-	ready  chan struct{} // closed and replaced whenever something changes
+// direction is one direction of a connection.
+type direction struct {
+	mu       sync.Mutex
+	buf      []byte
+	capacity int
+	closed   bool
+	changed  chan struct{} // closed and replaced on each change of the fields above
 }
 
-func (h *half) changed() {
-	close(h.ready)
-	h.ready = make(chan struct{})
+// broadcast wakes all goroutines that wait for a change. d.mu must be held.
+func (d *direction) broadcast() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// Pipe joins two connections; each direction holds size octets.
-func Pipe(size int) (net.Conn, net.Conn) {
-	x, y := &half{size: size, ready: make(chan struct{})}, &half{size: size, ready: make(chan struct{})}
-	return &conn{in: x, out: y}, &conn{in: y, out: x}
+// Pipe returns the two ends of a connection; each direction buffers up to capacity bytes.
+func Pipe(capacity int) (net.Conn, net.Conn) {
+	forward, backward := &direction{capacity: capacity, changed: make(chan struct{})}, &direction{capacity: capacity, changed: make(chan struct{})}
+	return &conn{in: forward, out: backward}, &conn{in: backward, out: forward}
 }
 
 type conn struct {
-	in, out *half
-	mu      sync.Mutex
-	rd, wd  time.Time
+	in, out                     *direction
+	mu                          sync.Mutex
+	readDeadline, writeDeadline time.Time
 }
 
+// deadline returns the write deadline or the read deadline.
 func (c *conn) deadline(write bool) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if write {
-		return c.wd
+		return c.writeDeadline
 	}
-	return c.rd
+	return c.readDeadline
 }
 
-// wait waits for a change of h, at most until the deadline.
-func wait(ready chan struct{}, deadline time.Time) error {
+// wait waits until changed is closed, at most until the deadline.
+func wait(changed chan struct{}, deadline time.Time) error {
 	if deadline.IsZero() {
-		<-ready
+		<-changed
 		return nil
 	}
 	d := time.Until(deadline)
@@ -154,7 +156,7 @@
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-ready:
+	case <-changed:
 		return nil
 	case <-t.C:
 		return os.ErrDeadlineExceeded
@@ -167,54 +169,54 @@
 		if len(c.in.buf) > 0 {
 			n := copy(b, c.in.buf)
 			c.in.buf = append(c.in.buf[:0], c.in.buf[n:]...)
-			c.in.changed()
+			c.in.broadcast()
 			c.in.mu.Unlock()
 			return n, nil
 		}
-		closed, ready := c.in.closed, c.in.ready
+		closed, changed := c.in.closed, c.in.changed
 		c.in.mu.Unlock()
 		if closed {
 			return 0, io.EOF
 		}
-		if err := wait(ready, c.deadline(false)); err != nil {
+		if err := wait(changed, c.deadline(false)); err != nil {
 			return 0, err
 		}
 	}
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	done := 0
-	for done < len(b) {
+	written := 0
+	for written < len(b) {
 		c.out.mu.Lock()
 		if c.out.closed {
 			c.out.mu.Unlock()
-			return done, io.ErrClosedPipe
+			return written, io.ErrClosedPipe
 		}
-		if room := c.out.size - len(c.out.buf); room > 0 {
-			n := min(room, len(b)-done)
-			c.out.buf = append(c.out.buf, b[done:done+n]...)
-			done += n
-			c.out.changed()
+		if free := c.out.capacity - len(c.out.buf); free > 0 {
+			n := min(free, len(b)-written)
+			c.out.buf = append(c.out.buf, b[written:written+n]...)
+			written += n
+			c.out.broadcast()
 			c.out.mu.Unlock()
 			continue
 		}
-		ready := c.out.ready
+		changed := c.out.changed
 		c.out.mu.Unlock()
-		if err := wait(ready, c.deadline(true)); err != nil {
-			return done, err
+		if err := wait(changed, c.deadline(true)); err != nil {
+			return written, err
 		}
 	}
-	return done, nil
+	return written, nil
 }
 
 func (c *conn) Close() error {
-	for _, h := range []*half{c.in, c.out} {
-		h.mu.Lock()
-		if !h.closed {
-			h.closed = true
-			h.changed()
+	for _, d := range []*direction{c.in, c.out} {
+		d.mu.Lock()
+		if !d.closed {
+			d.closed = true
+			d.broadcast()
 		}
-		h.mu.Unlock()
+		d.mu.Unlock()
 	}
 	return nil
 }
@@ -229,14 +231,14 @@
 
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.rd = t
+	c.readDeadline = t
 	c.mu.Unlock()
 	return nil
 }
 
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.wd = t
+	c.writeDeadline = t
 	c.mu.Unlock()
 	return nil
 }
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,125 +1,127 @@
-// Package outbox is the bounded queue between those who send on a connection and the goroutine that writes it.
+// Package outbox provides the bounded output queue of a connection, between the senders and the goroutine that writes.
 package outbox
 
 import "sync"
 
-// Queue holds octets on their way to a connection. All methods are safe for concurrent use.
+// Queue holds the bytes to be written to a connection. All methods are safe for concurrent use.
 type Queue struct {
 	wake  chan struct{}
 	limit int
 
-	mu     sync.Mutex
-	out    []byte
-	left   []byte // of what the writer had taken, what has not left
-	ending bool   // nothing more is queued; the writer ends when all is written
-	closed bool
-	taken  bool // the writer has taken octets and has not said that they are written
-	why    string
+	mu        sync.Mutex
+	queued    []byte
+	unwritten []byte // bytes that the writer has taken and failed to write
+	finishing bool   // Put is refused; the writer ends when all is written
+	closed    bool
+	writing   bool // the writer has taken bytes and has not called Written yet
+	reason    string
 }
 
-// New makes a box that holds at most limit octets.
+// New creates a queue of at most limit bytes.
 func New(limit int) *Queue { return &Queue{wake: make(chan struct{}, 1), limit: limit} }
 
-// Put queues octets; false: there is no room, or the box is ending or closed. The writer is told by Nudge.
-func (b *Queue) Put(octets []byte) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.closed || b.ending || len(b.out)+len(octets) > b.limit {
+// Put queues data; false: the queue has too little room, or Finish or Close has been called. It does not wake the writer: call
+// Notify.
+func (q *Queue) Put(data []byte) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed || q.finishing || len(q.queued)+len(data) > q.limit {
 		return false
 	}
-	b.out = append(b.out, octets...)
+	q.queued = append(q.queued, data...)
 	return true
 }
 
-// Notify tells the writer to look.
-func (b *Queue) Notify() {
+// Notify wakes the writer.
+func (q *Queue) Notify() {
 	select {
-	case b.wake <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Ready is where the writer waits for a nudge.
-func (b *Queue) Ready() <-chan struct{} { return b.wake }
+// Ready returns the channel on which the writer waits to be woken.
+func (q *Queue) Ready() <-chan struct{} { return q.wake }
 
-// Close ends the box at once; the first reason stays.
-func (b *Queue) Close(why string) {
-	b.mu.Lock()
-	if b.closed = true; b.why == "" {
-		b.why = why
+// Close closes the queue; what is queued is not written. The first reason given to Close or Finish is kept.
+func (q *Queue) Close(reason string) {
+	q.mu.Lock()
+	if q.closed = true; q.reason == "" {
+		q.reason = reason
 	}
-	b.mu.Unlock()
-	b.Notify()
+	q.mu.Unlock()
+	q.Notify()
 }
 
-// Finish ends the box when what is queued has been written.
-func (b *Queue) Finish(why string) {
-	b.mu.Lock()
-	if b.ending = true; b.why == "" {
-		b.why = why
+// Finish lets the writer end once what is queued has been written. The first reason given to Close or Finish is kept.
+func (q *Queue) Finish(reason string) {
+	q.mu.Lock()
+	if q.finishing = true; q.reason == "" {
+		q.reason = reason
 	}
-	b.mu.Unlock()
-	b.Notify()
+	q.mu.Unlock()
+	q.Notify()
 }
 
-// Reason is why the box was closed or finished.
-func (b *Queue) Reason() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.why
+// Reason returns the reason given to Close or Finish.
+func (q *Queue) Reason() string {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.reason
 }
 
-// bigBuffer is the size from which on a storm's buffer is not kept.
-const bigBuffer = 1 << 16
+// maxKeptBytes is the largest buffer that is kept for reuse: a larger one, grown by a burst, is freed.
+const maxKeptBytes = 1 << 16
 
-// Take appends what is queued to buf and takes it from the box. ending: it is the last; closed: it is not to be written.
-func (b *Queue) Take(buf []byte) (out []byte, ending, closed bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.closed {
-		return buf, b.ending, true
+// Take moves what is queued to the end of buf. finishing: nothing more will follow; closed: the queue is closed, nothing is moved,
+// and the writer must not write.
+func (q *Queue) Take(buf []byte) (queued []byte, finishing, closed bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed {
+		return buf, q.finishing, true
 	}
-	b.taken = len(b.out) > 0
-	buf, b.out = append(buf, b.out...), b.out[:0]
-	if cap(b.out) > bigBuffer {
-		b.out = nil
+	q.writing = len(q.queued) > 0
+	buf, q.queued = append(buf, q.queued...), q.queued[:0]
+	if cap(q.queued) > maxKeptBytes {
+		q.queued = nil
 	}
-	return buf, b.ending, false
+	return buf, q.finishing, false
 }
 
-// Written tells that what the writer took has been written.
-func (b *Queue) Written() {
-	b.mu.Lock()
-	b.taken = false
-	b.mu.Unlock()
+// Written records that the writer has written what it took.
+func (q *Queue) Written() {
+	q.mu.Lock()
+	q.writing = false
+	q.mu.Unlock()
 }
 
-// Idle tells whether all that was queued has been written.
-func (b *Queue) Idle() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return !b.taken && len(b.out) == 0
+// Idle reports whether all that was queued has been written.
+func (q *Queue) Idle() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return !q.writing && len(q.queued) == 0
 }
 
-// Queued is the number of octets queued.
-func (b *Queue) Queued() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.out)
+// Queued returns the number of bytes queued.
+func (q *Queue) Queued() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.queued)
 }
 
-// PutBack gives back what the writer took and could not write.
-func (b *Queue) PutBack(left []byte) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.left = append(b.left, left...)
+// PutBack hands back bytes that the writer took and could not write; Unsent returns them.
+func (q *Queue) PutBack(unwritten []byte) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.unwritten = append(q.unwritten, unwritten...)
 }
 
-// Unsent takes out what has not been written: what the writer gave back, then what is queued.
-func (b *Queue) Unsent() []byte {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	all := append(b.left, b.out...)
-	b.left, b.out = nil, nil
+// Unsent removes and returns what has not been written: what PutBack handed back, then what is queued.
+func (q *Queue) Unsent() []byte {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	all := append(q.unwritten, q.queued...)
+	q.unwritten, q.queued = nil, nil
 	return all
 }
--- a/internal/streambuf/streambuf.go
+++ b/internal/streambuf/streambuf.go
@@ -1,4 +1,4 @@
-// Package streambuf buffers a stream for decoders that cut it into messages of bounded length.
+// Package streambuf buffers a stream for decoders that split it into messages of bounded length.
 package streambuf
 
 import (
@@ -6,39 +6,41 @@
 	"io"
 )
 
-// ErrTooLong tells of a message that is not whole within the most octets that one may have.
-var ErrTooLong = errors.New("a message that is too long")
+// ErrTooLong means that a message is not complete within the maximum length.
+var ErrTooLong = errors.New("message exceeds the maximum length")
 
-// Buffer holds what has been read and not yet taken. Its memory grows with the longest message, up to the most octets.
+// Buffer holds bytes that have been read and not yet discarded. Its memory grows with the longest message, up to the maximum
+// length of a message.
 type Buffer struct {
-	r     io.Reader
-	buf   []byte
-	most  int
-	begun func(bool)
+	r          io.Reader
+	buf        []byte
+	maxLen     int
+	beforeRead func(bool)
 }
 
-// New reads from r. begun, if set, is called before each read with whether part of a message is there, so that a message
-// that has begun can be given a time limit.
-func New(r io.Reader, most int, begun func(bool)) *Buffer {
-	return &Buffer{r: r, most: most, begun: begun, buf: make([]byte, 0, min(most, 1024))}
+// New returns a Buffer that reads from r; maxLen is the maximum length of a message in bytes. beforeRead, if not nil, is called
+// before each read with whether part of a message is buffered, so that the caller can set a deadline for the rest of a message.
+func New(r io.Reader, maxLen int, beforeRead func(bool)) *Buffer {
+	return &Buffer{r: r, maxLen: maxLen, beforeRead: beforeRead, buf: make([]byte, 0, min(maxLen, 1024))}
 }
 
-// Bytes are the octets there, valid until the next Fill or Take.
+// Bytes returns the buffered bytes, which are valid until the next Fill or Discard.
 func (b *Buffer) Bytes() []byte { return b.buf }
 
-// Discard takes the first n octets off.
+// Discard removes the first n bytes.
 func (b *Buffer) Discard(n int) { b.buf = b.buf[:copy(b.buf, b.buf[n:])] }
 
-// Fill reads more. With part of a message there the end of the stream is io.ErrUnexpectedEOF.
+// Fill reads more bytes. At the end of the stream it returns io.ErrUnexpectedEOF if part of a message is buffered, and otherwise
+// io.EOF.
 func (b *Buffer) Fill() error {
-	if len(b.buf) >= b.most {
+	if len(b.buf) >= b.maxLen {
 		return ErrTooLong
 	}
-	if b.begun != nil {
-		b.begun(len(b.buf) > 0)
+	if b.beforeRead != nil {
+		b.beforeRead(len(b.buf) > 0)
 	}
 	if len(b.buf) == cap(b.buf) {
-		grown := make([]byte, len(b.buf), min(2*cap(b.buf), b.most))
+		grown := make([]byte, len(b.buf), min(2*cap(b.buf), b.maxLen))
 		copy(grown, b.buf)
 		b.buf = grown
 	}
--- a/internal/taskgroup/taskgroup.go
+++ b/internal/taskgroup/taskgroup.go
@@ -1,4 +1,4 @@
-// Package taskgroup starts goroutines that have an owner: one that waits for their end and hears of their panics.
+// Package taskgroup starts goroutines on behalf of an owner, which waits for them and is notified of their panics.
 package taskgroup
 
 import (
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// Group is the goroutines of one owner. A panic ends what its goroutine serves and not the program.
+// Group is the goroutines of one owner. A panic ends only the goroutine in which it occurs, not the program.
 type Group struct {
-	Panic func(where string, r any, stack []byte) // is told of each panic
+	Panic func(where string, r any, stack []byte) // called for each panic
 
 	wg sync.WaitGroup
 }
 
-// Go starts a goroutine that Wait waits for.
+// Go runs f in a new goroutine.
 func (g *Group) Go(f func()) {
 	g.wg.Add(1)
 	go func() {
@@ -28,10 +28,10 @@
 	}()
 }
 
-// Wait waits until all have ended.
+// Wait waits until all goroutines that Go has started have ended.
 func (g *Group) Wait() { g.wg.Wait() }
 
-// Recovered tells Panic of a recovered value; false: there was no panic.
+// Recovered passes r, the result of recover, to Panic; false: r is nil, as there was no panic.
 func (g *Group) Recovered(where string, r any) bool {
 	if r == nil {
 		return false
@@ -40,27 +40,26 @@
 	return true
 }
 
-// RunRecovered runs f; false: it has panicked.
-func (g *Group) RunRecovered(where string, f func()) (whole bool) {
-	defer func() { whole = !g.Recovered(where, recover()) }()
+// RunRecovered runs f and recovers from a panic; false: f has panicked.
+func (g *Group) RunRecovered(where string, f func()) (completed bool) {
+	defer func() { completed = !g.Recovered(where, recover()) }()
 	f()
 	return true
 }
 
-// Accept hands the connections of a listener to f until ctx ends, which closes it, or it is closed, or its deadline passes: what
-// waited to be accepted by then has been handed over. Other errors, such as a lack of descriptors, are told and waited out: the
-// listener is kept.
-func Accept(ctx context.Context, l net.Listener, failed func(error), f func(net.Conn)) {
+// Accept passes the connections of a listener to handle until ctx ends, which closes the listener, or the listener is closed or
+// its deadline passes. Any other error, such as a lack of file descriptors, goes to onError, and Accept continues after 50 ms.
+func Accept(ctx context.Context, l net.Listener, onError func(error), handle func(net.Conn)) {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	for {
 		conn, err := l.Accept()
 		switch {
 		case err == nil:
-			f(conn)
+			handle(conn)
 		case ctx.Err() != nil || errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
 			return
 		default:
-			failed(err)
+			onError(err)
 			select {
 			case <-time.After(50 * time.Millisecond):
 			case <-ctx.Done():
