--- a/controller/calls.go
+++ b/controller/calls.go
@@ -12,135 +12,137 @@
 	"github.com/umbergauge/umbergauge/trunk"
 )
 
-func (l *leg) key() uint64 { return uint64(l.opc)<<16 | uint64(l.cic) }
+// key identifies a client's circuit among those of its association: its originating point code and CIC.
+func (circuit *clientCircuit) key() uint64 { return uint64(circuit.opc)<<16 | uint64(circuit.cic) }
 
-// fromClient takes a message of a client's circuit.
-func (c *Core) fromClient(a *assoc, opc uint32, m *isup.Message) {
-	key := uint64(opc)<<16 | uint64(m.CIC)
-	l := a.legs[key]
-	if l != nil {
-		l.assoc = a // what follows goes the way that its client takes now
-	}
-	switch m.Type {
+// handleFromClient handles a message on a client's circuit.
+func (c *Core) handleFromClient(assoc *association, opc uint32, message *isup.Message) {
+	key := uint64(opc)<<16 | uint64(message.CIC)
+	circuit := assoc.circuits[key]
+	if circuit != nil {
+		circuit.association = assoc // further messages use the association that the client uses now
+	}
+	switch message.Type {
 	case isup.IAM:
-		if l != nil && l.call != nil { // its circuit is busy: a repeat, or a client that has lost count
+		if circuit != nil && circuit.openCall != nil { // the circuit is busy: a retransmission, or the client's circuit states are wrong
 			c.Counters.Unexpected++
 			return
 		}
-		if l != nil { // it takes the circuit as idle, so it has had our REL
-			c.wheel.Stop(l.timer)
+		if circuit != nil { // the client considers the circuit idle, so it has received our REL
+			c.wheel.Stop(circuit.timer)
 		}
-		l = &leg{assoc: a, opc: opc, cic: m.CIC}
-		a.legs[key] = l
-		c.offer(l, m)
+		circuit = &clientCircuit{association: assoc, opc: opc, cic: message.CIC}
+		assoc.circuits[key] = circuit
+		c.handleClientIAM(circuit, message)
 	case isup.REL:
-		if l == nil || l.call == nil {
-			// Nothing is on the circuit, or our REL has crossed this one (Q.764, 2.3.1 e): RLC either way.
-			c.toClient(&leg{assoc: a, opc: opc, cic: m.CIC}, &isup.Message{Type: isup.RLC})
+		if circuit == nil || circuit.openCall == nil {
+			// There is no call on the circuit, or the RELs have crossed (Q.764, 2.3.1 e): answer RLC either way.
+			c.sendToClient(&clientCircuit{association: assoc, opc: opc, cic: message.CIC}, &isup.Message{Type: isup.RLC})
 			return
 		}
-		k := l.call
-		k.leg = nil
-		delete(a.legs, key)
-		c.toClient(l, &isup.Message{Type: isup.RLC})
-		c.callerLeft(k, m.Cause)
+		call := circuit.openCall
+		call.clientCircuit = nil
+		delete(assoc.circuits, key)
+		c.sendToClient(circuit, &isup.Message{Type: isup.RLC})
+		c.callerReleased(call, message.Cause)
 	case isup.RLC:
-		if l != nil && l.call == nil {
-			c.wheel.Stop(l.timer)
-			delete(a.legs, key)
+		if circuit != nil && circuit.openCall == nil {
+			c.wheel.Stop(circuit.timer)
+			delete(assoc.circuits, key)
 		}
 	case isup.RSC:
-		c.dropLeg(a, key)
-		c.toClient(&leg{assoc: a, opc: opc, cic: m.CIC}, &isup.Message{Type: isup.RLC})
+		c.resetClientCircuit(assoc, key)
+		c.sendToClient(&clientCircuit{association: assoc, opc: opc, cic: message.CIC}, &isup.Message{Type: isup.RLC})
 	case isup.GRS:
-		for i := 0; i <= int(m.Range); i++ {
-			c.dropLeg(a, uint64(opc)<<16|uint64(m.CIC+uint16(i)))
+		for i := 0; i <= int(message.Range); i++ {
+			c.resetClientCircuit(assoc, uint64(opc)<<16|uint64(message.CIC+uint16(i)))
 		}
-		c.toClient(&leg{assoc: a, opc: opc, cic: m.CIC},
-			&isup.Message{Type: isup.GRA, Range: m.Range, Status: make([]byte, (int(m.Range)+8)/8)})
+		c.sendToClient(&clientCircuit{association: assoc, opc: opc, cic: message.CIC},
+			&isup.Message{Type: isup.GRA, Range: message.Range, Status: make([]byte, (int(message.Range)+8)/8)})
 	case isup.CQM:
-		states := make([]byte, int(m.Range)+1)
+		states := make([]byte, int(message.Range)+1)
 		for i := range states {
 			states[i] = isup.CircuitIdle
-			if l := a.legs[uint64(opc)<<16|uint64(m.CIC+uint16(i))]; l != nil && l.call != nil {
+			if circuit := assoc.circuits[uint64(opc)<<16|uint64(message.CIC+uint16(i))]; circuit != nil && circuit.openCall != nil {
 				states[i] = isup.CircuitIncoming
 			}
 		}
-		c.toClient(&leg{assoc: a, opc: opc, cic: m.CIC}, &isup.Message{Type: isup.CQR, Range: m.Range, Circuits: states})
+		c.sendToClient(&clientCircuit{association: assoc, opc: opc, cic: message.CIC}, &isup.Message{Type: isup.CQR, Range: message.Range, Circuits: states})
 	default:
 		c.Counters.Unexpected++
 	}
 }
 
-// dropLeg frees a client's circuit that the client has reset.
-func (c *Core) dropLeg(a *assoc, key uint64) {
-	l := a.legs[key]
-	if l == nil {
+// resetClientCircuit frees a circuit that the client has reset.
+func (c *Core) resetClientCircuit(assoc *association, key uint64) {
+	circuit := assoc.circuits[key]
+	if circuit == nil {
 		return
 	}
-	delete(a.legs, key)
-	c.wheel.Stop(l.timer)
-	if k := l.call; k != nil {
-		k.leg = nil
-		c.callerLeft(k, isup.CauseTemporary)
+	delete(assoc.circuits, key)
+	c.wheel.Stop(circuit.timer)
+	if call := circuit.openCall; call != nil {
+		call.clientCircuit = nil
+		c.callerReleased(call, isup.CauseTemporary)
 	}
 }
 
-// clearLeg sends REL on a client's circuit and awaits RLC.
-func (c *Core) clearLeg(l *leg, cause isup.Cause, loc isup.Location) {
-	l.cause = cause
-	l.timer = c.wheel.Set(c.now+c.cfg.ClientT1, alarm{kind: legTimer, leg: l})
-	c.toClient(l, &isup.Message{Type: isup.REL, Cause: cause, Location: loc, Congestion: l.congestion})
+// releaseClientCircuit sends REL on a client's circuit and starts the timer for RLC.
+func (c *Core) releaseClientCircuit(circuit *clientCircuit, cause isup.Cause, location isup.Location) {
+	circuit.cause = cause
+	circuit.timer = c.wheel.Set(c.now+c.cfg.ClientT1, timerEvent{kind: timerClientRelease, clientCircuit: circuit})
+	c.sendToClient(circuit, &isup.Message{Type: isup.REL, Cause: cause, Location: location, Congestion: circuit.congestion})
 }
 
-// legRepeats is how often REL is sent again before the circuit is given up: the client's own T5 or reset clears it.
-const legRepeats = 5
+// maxReleaseRetransmissions bounds the retransmissions of REL; after them the client's own T5 or a reset clears the circuit.
+const maxReleaseRetransmissions = 5
 
-func (c *Core) repeatRelease(l *leg) {
-	if l.assoc.legs[l.key()] != l || l.call != nil {
+// retransmitRelease sends REL again on a client's circuit whose RLC has not come, or gives the circuit up.
+func (c *Core) retransmitRelease(circuit *clientCircuit) {
+	if circuit.association.circuits[circuit.key()] != circuit || circuit.openCall != nil {
 		return
 	}
-	if l.repeats++; l.repeats > legRepeats {
-		delete(l.assoc.legs, l.key())
+	if circuit.retransmissions++; circuit.retransmissions > maxReleaseRetransmissions {
+		delete(circuit.association.circuits, circuit.key())
 		return
 	}
-	l.timer = c.wheel.Set(c.now+c.cfg.ClientT1, alarm{kind: legTimer, leg: l})
-	c.toClient(l, &isup.Message{Type: isup.REL, Cause: l.cause, Location: isup.LocationNetwork})
+	circuit.timer = c.wheel.Set(c.now+c.cfg.ClientT1, timerEvent{kind: timerClientRelease, clientCircuit: circuit})
+	c.sendToClient(circuit, &isup.Message{Type: isup.REL, Cause: circuit.cause, Location: isup.LocationNetwork})
 }
 
-// destination finds the exchange behind a number; the cause is 0 if a call can go there.
-func (c *Core) destination(called isup.Number) (uint32, isup.Cause) {
-	switch dest, ok := c.numbers.Lookup(called); {
+// lookUpDestination returns the exchange that serves a number; the cause is 0 if calls to it can be routed.
+func (c *Core) lookUpDestination(called isup.Number) (uint32, isup.Cause) {
+	switch destination, ok := c.numbers.Lookup(called); {
 	case !ok:
 		return 0, isup.CauseUnallocated
-	case dest == c.cfg.PointCode: // no trunk group leads there
-		return dest, isup.CauseNoRoute
+	case destination == c.cfg.PointCode: // the own exchange: no trunk group leads to it
+		return destination, isup.CauseNoRoute
 	default:
-		return dest, 0
+		return destination, 0
 	}
 }
 
-// newCall makes a call from an IAM; nil with the cause if it cannot be taken at all. With hooks on arrival the number may
-// still change, and leads nowhere only when they have had it.
-func (c *Core) newCall(m *isup.Message, transit bool, set *hooks.Set) (*call, isup.Cause) {
-	switch isup.CheckUnknown(m, transit) {
+// newCall makes a call from an IAM, or returns nil and the cause of its refusal. Hooks on arrival may still rewrite the
+// number, so with them an unroutable number is no reason for refusal yet.
+func (c *Core) newCall(message *isup.Message, transit bool, hookSet *hooks.Set) (*openCall, isup.Cause) {
+	switch isup.CheckUnknown(message, transit) {
 	case isup.Discard, isup.ReleaseCall:
 		return nil, isup.CauseUnknownPar
 	}
-	dest, cause := c.destination(m.Called)
+	destination, cause := c.lookUpDestination(message.Called)
 	switch {
-	case cause != 0 && !set.Has(script.Arrival):
+	case cause != 0 && !hookSet.Has(script.Arrival):
 		return nil, cause
 	case c.draining, len(c.calls) >= c.cfg.MaxCalls:
 		return nil, isup.CauseCongestion
-	case m.HasHops && m.Hops == 0: // it goes round in circles (Q.764, 2.1.22)
+	case message.HasHops && message.Hops == 0: // the hop counter is used up: the call is looping (Q.764, 2.1.22)
 		return nil, 25
 	}
-	var k *call
-	if n := len(c.spareCall); n > 0 {
-		k, c.spareCall = c.spareCall[n-1], c.spareCall[:n-1]
+	var call *openCall
+	if n := len(c.freeCalls); n > 0 {
+		call, c.freeCalls = c.freeCalls[n-1], c.freeCalls[:n-1]
 	} else {
-		k = &call{}
+		call = &openCall{}
 	}
 	for {
 		if c.lastID++; c.lastID >= 1<<32 {
@@ -150,311 +152,316 @@
 			break
 		}
 	}
-	opt := k.iam.Optional[:0]
-	*k = call{id: c.lastID, dest: dest, arrived: c.now, class: int(c.classOf[m.Category]), set: set}
-	k.iam = *m
-	k.iam.Compat = append([]byte(nil), m.Compat...)
-	k.iam.Optional = opt
-	for _, o := range m.Optional {
-		k.iam.Optional = append(k.iam.Optional, isup.Optional{Code: o.Code, Value: append([]byte(nil), o.Value...)})
+	opt := call.iam.Optional[:0]
+	*call = openCall{id: c.lastID, destination: destination, arrivedAt: c.now, class: int(c.classByCategory[message.Category]), hookSet: hookSet}
+	call.iam = *message
+	call.iam.Compat = append([]byte(nil), message.Compat...)
+	call.iam.Optional = opt
+	for _, optional := range message.Optional {
+		call.iam.Optional = append(call.iam.Optional, isup.Optional{Code: optional.Code, Value: append([]byte(nil), optional.Value...)})
 	}
-	if !m.HasHops {
-		k.iam.Hops = c.cfg.Hops
+	if !message.HasHops {
+		call.iam.Hops = c.cfg.Hops
 	}
-	if m.HasDelay {
-		k.delay = time.Duration(m.Delay) * time.Millisecond
+	if message.HasDelay {
+		call.earlierDelay = time.Duration(message.Delay) * time.Millisecond
 	}
-	return k, 0
+	return call, 0
 }
 
-// keptOut asks the doors about a set-up, before anything is spent on it. What is kept out is released at once, with the
-// congestion level of its client (Q.763, 3.4), and the client is told by SCON when that changes.
-func (c *Core) keptOut(l *leg) bool {
-	a := l.assoc
-	v := c.door.Admit(a.door, c.now)
-	if v == admission.Admitted && a.peer.Tenant < len(c.accounts) {
-		if v = c.tenants.Admit(c.accounts[a.peer.Tenant], c.now); v != admission.Admitted {
-			c.door.Done(a.door)
+// rejectByAdmission checks a set-up against the limits of its client and tenant, before any other work is done for it. A
+// set-up beyond them is released at once with the client's congestion level (Q.763, 3.4); SCON notifies the client when
+// that level changes.
+func (c *Core) rejectByAdmission(circuit *clientCircuit) bool {
+	assoc := circuit.association
+	decision := c.limits.Admit(assoc.limits, c.now)
+	if decision == admission.Admitted && assoc.peer.Tenant < len(c.tenantClients) {
+		if decision = c.tenantLimits.Admit(c.tenantClients[assoc.peer.Tenant], c.now); decision != admission.Admitted {
+			c.limits.Done(assoc.limits)
 		}
 	}
-	level, changed := c.door.Level(a.door, c.now)
+	level, changed := c.limits.Level(assoc.limits, c.now)
 	if changed {
-		c.frame = m3ua.Append(c.frame[:0], &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: c.cfg.PointCode}}, Congestion: byte(level)})
-		c.port.Send(a.id, c.frame)
+		c.frameBuffer = m3ua.Append(c.frameBuffer[:0], &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: c.cfg.PointCode}}, Congestion: byte(level)})
+		c.port.Send(assoc.id, c.frameBuffer)
 	}
-	if v == admission.Admitted {
+	if decision == admission.Admitted {
 		return false
 	}
 	c.Counters.NotAdmitted++
-	l.congestion = byte(min(max(level, 1), 2))
-	c.clearLeg(l, isup.CauseCongestion, isup.LocationNetwork)
+	circuit.congestion = byte(min(max(level, 1), 2))
+	c.releaseClientCircuit(circuit, isup.CauseCongestion, isup.LocationNetwork)
 	return true
 }
 
-// offer hands a client's call to the module.
-func (c *Core) offer(l *leg, m *isup.Message) {
-	if c.keptOut(l) {
+// handleClientIAM admits a client's set-up, makes the call and offers it to the hooks on arrival or to the policy engine.
+func (c *Core) handleClientIAM(circuit *clientCircuit, message *isup.Message) {
+	if c.rejectByAdmission(circuit) {
 		return
 	}
-	cut := c.wasCut(m)
-	var set *hooks.Set
+	cutBefore := c.takeCutCall(message)
+	var hookSet *hooks.Set
 	if c.cfg.Hooks != nil {
-		set = c.cfg.Hooks.Live()
+		hookSet = c.cfg.Hooks.Live()
 	}
-	k, cause := c.newCall(m, false, set)
-	if k == nil {
-		c.door.Done(l.assoc.door)
-		if l.assoc.peer.Tenant < len(c.accounts) {
-			c.tenants.Done(c.accounts[l.assoc.peer.Tenant])
+	call, cause := c.newCall(message, false, hookSet)
+	if call == nil {
+		c.limits.Done(circuit.association.limits)
+		if circuit.association.peer.Tenant < len(c.tenantClients) {
+			c.tenantLimits.Done(c.tenantClients[circuit.association.peer.Tenant])
 		}
 		c.Counters.Refused++
-		c.port.CallEnded(CallRecord{Outcome: Refused, Class: int(c.classOf[m.Category]), Tenant: l.assoc.peer.Tenant, Called: m.Called, Cause: cause})
-		c.clearLeg(l, cause, isup.LocationNetwork)
+		c.port.CallEnded(CallRecord{Outcome: Refused, Class: int(c.classByCategory[message.Category]), Tenant: circuit.association.peer.Tenant, Called: message.Called, Cause: cause})
+		c.releaseClientCircuit(circuit, cause, isup.LocationNetwork)
 		return
 	}
-	k.leg, l.call, k.tenant = l, k, l.assoc.peer.Tenant
-	k.door, k.account = l.assoc.door, l.assoc.peer.Tenant
+	call.clientCircuit, circuit.openCall, call.tenant = circuit, call, circuit.association.peer.Tenant
+	call.limits, call.admissionTenant = circuit.association.limits, circuit.association.peer.Tenant
 	c.Counters.Offered++
-	k.cut = cut
-	c.calls[k.id] = k
+	call.cutBefore = cutBefore
+	c.calls[call.id] = call
 	c.waiting++
-	if set.Has(script.Arrival) || set.Has(script.Route) {
-		c.ask(k, askArrival, script.Arrival, script.CallEvent(c.view(k)))
+	if hookSet.Has(script.Arrival) || hookSet.Has(script.Route) {
+		c.askHooks(call, hookWaitArrival, script.Arrival, script.CallEvent(c.scriptCall(call)))
 		return
 	}
-	c.enter(k, policy.Offered{AdvisedTandem: -1})
+	c.offerToEngine(call, policy.Offered{AdvisedTandem: -1})
 }
 
-// enter tells the module of a call of the table.
-func (c *Core) enter(k *call, ev policy.Offered) {
-	ev.Call, ev.Class, ev.Tenant, ev.Destination, ev.Circuits, ev.CutBefore = k.id, k.class, k.tenant, int(k.dest), 1, k.cut
-	ev.Number = k.iam.Called.String()
-	ev.Due = k.arrived + max(0, c.cfg.Classes[k.class].Patience-k.delay-c.cfg.AnswerMargin)
-	c.tell(ev)
+// offerToEngine offers a call to the policy engine.
+func (c *Core) offerToEngine(call *openCall, event policy.Offered) {
+	event.Call, event.Class, event.Tenant, event.Destination, event.Circuits, event.CutBefore = call.id, call.class, call.tenant, int(call.destination), 1, call.cutBefore
+	event.Number = call.iam.Called.String()
+	event.Due = call.arrivedAt + max(0, c.cfg.Classes[call.class].Patience-call.earlierDelay-c.cfg.AnswerMargin)
+	c.dispatch(event)
 }
 
-// callerLeft ends a call whose caller has released it or is gone.
-func (c *Core) callerLeft(k *call, cause isup.Cause) {
-	if k.phase == standing {
-		o := Finished
-		if !clears(cause) {
-			o = Cut
+// callerReleased ends a call that its caller has released, or whose caller's circuit or association is lost.
+func (c *Core) callerReleased(call *openCall, cause isup.Cause) {
+	if call.phase == phaseEstablished {
+		outcome := Finished
+		if !isNormalClearing(cause) {
+			outcome = Cut
 		}
-		c.endStanding(k, o, cause, policy.Completed)
+		c.releaseEstablished(call, outcome, cause, policy.Completed)
 		return
 	}
-	if k.asking != askArrival { // else the module has not been told of it
-		c.tell(policy.CallerReleased{Call: k.id})
+	if call.hookWait != hookWaitArrival { // otherwise the policy engine does not know the call yet
+		c.dispatch(policy.CallerReleased{Call: call.id})
 	}
-	if k.to != nil {
-		if k.asking != askEnd {
-			c.abandon(k, isup.CauseNormal)
+	if call.outExchange != nil {
+		if call.hookWait != hookWaitAttemptEnd {
+			c.releaseOutgoing(call, isup.CauseNormal)
 		}
-		c.returned(k, policy.Cancelled, policy.NoReason, true)
+		c.endAttempt(call, policy.Cancelled, policy.NoReason, true)
 	}
-	c.close(k, Abandoned, cause)
+	c.closeCall(call, Abandoned, cause)
 }
 
-// endStanding ends a call that stood, from the caller's side or from here: its circuit is released.
-func (c *Core) endStanding(k *call, o Outcome, cause isup.Cause, told policy.Cause) {
-	if k.to != nil {
-		if s, id := k.to.group.Circuit(k.toCIC); s == trunk.Outgoing && id == k.id {
-			c.abandon(k, cause)
+// releaseEstablished ends an established call that the caller or this controller has released, and releases its outgoing
+// circuit.
+func (c *Core) releaseEstablished(call *openCall, outcome Outcome, cause isup.Cause, engineCause policy.Cause) {
+	if call.outExchange != nil {
+		if state, id := call.outExchange.group.Circuit(call.outCIC); state == trunk.Outgoing && id == call.id {
+			c.releaseOutgoing(call, cause)
 		}
 	}
-	c.over(k, o, cause, told)
+	c.endEstablished(call, outcome, cause, engineCause)
 }
 
-// over tells the module that a standing call has ended.
-func (c *Core) over(k *call, o Outcome, cause isup.Cause, told policy.Cause) {
-	c.tell(policy.AttemptEnded{Call: k.id, Attempt: k.attempts - 1, Exchange: k.to.Address, Final: true, Delay: c.now - k.sentAt, Cause: told})
-	c.close(k, o, cause)
+// endEstablished notifies the policy engine of the end of an established call and closes it.
+func (c *Core) endEstablished(call *openCall, outcome Outcome, cause isup.Cause, engineCause policy.Cause) {
+	c.dispatch(policy.AttemptEnded{Call: call.id, Attempt: call.attempts - 1, Exchange: call.outExchange.Address, Final: true, Delay: c.now - call.sentAt, Cause: engineCause})
+	c.closeCall(call, outcome, cause)
 }
 
-// backward sends a message towards the caller.
-func (c *Core) backward(k *call, m *isup.Message) {
-	if k.from != nil {
-		m.CIC = k.fromCIC
-		c.toOwn(k.from, m)
-	} else if k.leg != nil {
-		c.toClient(k.leg, m)
+// sendBackward sends a message towards the caller.
+func (c *Core) sendBackward(call *openCall, message *isup.Message) {
+	if call.inExchange != nil {
+		message.CIC = call.inCIC
+		c.sendToOwn(call.inExchange, message)
+	} else if call.clientCircuit != nil {
+		c.sendToClient(call.clientCircuit, message)
 	}
 }
 
-// fromFar takes a message of a far switch about the circuits of its group.
-func (c *Core) fromFar(f *far, m *isup.Message) {
-	state, id := f.group.Circuit(m.CIC)
-	var k *call
+// handleFromFar handles a message of a far switch about the circuits of its trunk group.
+func (c *Core) handleFromFar(far *farExchange, message *isup.Message) {
+	state, id := far.group.Circuit(message.CIC)
+	var call *openCall
 	if state == trunk.Outgoing {
-		if k = c.calls[id]; k != nil && (k.to != f || k.toCIC != m.CIC) {
-			k = nil
+		if call = c.calls[id]; call != nil && (call.outExchange != far || call.outCIC != message.CIC) {
+			call = nil
 		}
 	}
-	switch m.Type {
+	switch message.Type {
 	case isup.ACM, isup.CPG:
-		if k == nil || k.phase != offered {
-			f.group.FromFar(m)
-			c.acts(f)
+		if call == nil || call.phase != phaseOffered {
+			far.group.FromFar(message)
+			c.runGroupActions(far)
 			break
 		}
-		back := isup.Message{Type: isup.ACM, Backward: m.Backward}
-		if k.progress { // one ACM a call, whatever attempts it takes
+		back := isup.Message{Type: isup.ACM, Backward: message.Backward}
+		if call.progressSent { // only one ACM per call, however many attempts it takes
 			back = isup.Message{Type: isup.CPG, Event: 2}
 		}
-		k.progress = true
-		c.backward(k, &back)
-		c.alerting(k) // CPG too: whoever sends it has sent ACM
+		call.progressSent = true
+		c.sendBackward(call, &back)
+		c.startRinging(call) // CPG too: it follows an ACM, which may have been lost
 	case isup.ANM, isup.CON:
-		if k == nil || k.phase != offered {
-			c.Counters.LateAnswers++ // after the own time-out: REL is under way
-			f.group.FromFar(m)
-			c.acts(f)
+		if call == nil || call.phase != phaseOffered {
+			c.Counters.LateAnswers++ // too late: after a time-out here, with REL already sent
+			far.group.FromFar(message)
+			c.runGroupActions(far)
 			break
 		}
-		c.wheel.Stop(k.timeOut)
-		c.silence(k)
-		k.phase = standing
+		c.wheel.Stop(call.attemptTimer)
+		c.stopRinging(call)
+		call.phase = phaseEstablished
 		c.waiting--
 		c.Counters.Established++
-		f.group.Answered(m.CIC)
-		back := isup.Message{Type: isup.CON, Backward: m.Backward}
-		if k.progress {
+		far.group.Answered(message.CIC)
+		back := isup.Message{Type: isup.CON, Backward: message.Backward}
+		if call.progressSent {
 			back.Type = isup.ANM
 		}
-		c.backward(k, &back)
-		c.note(k, Answered, 0)
-		c.tell(policy.Established{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Delay: c.now - k.sentAt})
+		c.sendBackward(call, &back)
+		c.recordCall(call, Answered, 0)
+		c.dispatch(policy.Established{Call: call.id, Attempt: call.attempts - 1, Exchange: far.Address, Delay: c.now - call.sentAt})
 	case isup.REL:
-		cause, loc := m.Cause, m.Location
-		f.group.FromFar(m)
-		c.acts(f)
-		if k == nil {
+		cause, location := message.Cause, message.Location
+		far.group.FromFar(message)
+		c.runGroupActions(far)
+		if call == nil {
 			break
 		}
-		if k.phase == standing {
-			c.answerNo(k, cause, loc)
-			if clears(cause) {
-				c.over(k, Finished, cause, policy.Completed)
+		if call.phase == phaseEstablished {
+			c.releaseTowardsCaller(call, cause, location)
+			if isNormalClearing(cause) {
+				c.endEstablished(call, Finished, cause, policy.Completed)
 			} else {
-				c.over(k, Cut, cause, policy.Reset)
+				c.endEstablished(call, Cut, cause, policy.Reset)
 			}
 			break
 		}
-		k.cause, k.loc = cause, loc
-		c.wheel.Stop(k.timeOut)
-		if k.set.Has(script.AttemptEnd) {
-			c.ask(k, askEnd, script.AttemptEnd, script.AttemptEndEvent(c.view(k), int(cause), int(f.PointCode), f.PointCode == k.dest, c.now-k.sentAt))
+		call.cause, call.location = cause, location
+		c.wheel.Stop(call.attemptTimer)
+		if call.hookSet.Has(script.AttemptEnd) {
+			c.askHooks(call, hookWaitAttemptEnd, script.AttemptEnd, script.AttemptEndEvent(c.scriptCall(call), int(cause), int(far.PointCode), far.PointCode == call.destination, c.now-call.sentAt))
 			break
 		}
-		c.attemptEnded(k, cause)
+		c.attemptReleased(call, cause)
 	case isup.CQR:
-		c.responded(f, m)
+		c.handleQueryResponse(far, message)
 	default:
-		if !isup.Known(m.Type) {
+		if !isup.Known(message.Type) {
 			c.Counters.Unexpected++
 			break
 		}
-		if m.Type == isup.RLC {
-			f.released(m.CIC, c.now, c.cfg.Trunk.T1)
+		if message.Type == isup.RLC {
+			far.recordReleaseDelay(message.CIC, c.now, c.cfg.Trunk.T1)
 		}
-		f.group.FromFar(m)
-		c.acts(f)
+		far.group.FromFar(message)
+		c.runGroupActions(far)
 	}
 }
 
-// attemptEnded tells the module that a REL has ended the attempt out, with its cause or the one that hooks put in its place.
-func (c *Core) attemptEnded(k *call, cause isup.Cause) {
-	why, reason := ended(cause, k.loc, k.to.PointCode == k.dest)
-	c.returned(k, why, reason, false)
+// attemptReleased notifies the policy engine that REL has ended the outstanding attempt, with its cause or the one that
+// hooks substituted.
+func (c *Core) attemptReleased(call *openCall, cause isup.Cause) {
+	attemptCause, reason := attemptResult(cause, call.location, call.outExchange.PointCode == call.destination)
+	c.endAttempt(call, attemptCause, reason, false)
 }
 
-// responded takes a far switch's view of the circuits after signalling came up. Whether the switch remembers calls that
-// stand shows whether it has started anew; where none stands it is taken for cold, which is the safe side.
-func (c *Core) responded(f *far, m *isup.Message) {
-	was := f.group.InSync()
-	f.known = f.known || f.group.Remembered(m)
-	f.group.FromFar(m)
-	c.acts(f)
-	if was || !f.group.InSync() || !f.doubt {
+// handleQueryResponse handles a far switch's circuit states (CQR). When signalling is up again, a switch that still reports
+// established calls has not restarted. One that reports none is treated as cold, which is the safe assumption.
+func (c *Core) handleQueryResponse(far *farExchange, message *isup.Message) {
+	wasInSync := far.group.InSync()
+	far.knowsCalls = far.knowsCalls || far.group.Remembered(message)
+	far.group.FromFar(message)
+	c.runGroupActions(far)
+	if wasInSync || !far.group.InSync() || !far.mayHaveRestarted {
 		return
 	}
-	f.doubt = false
-	if !f.known {
-		f.launched = c.now
-		if f.health == policy.Ready {
-			c.listed(f.entry())
+	far.mayHaveRestarted = false
+	if !far.knowsCalls {
+		far.launched = c.now
+		if far.health == policy.Ready {
+			c.listChanged(far.entry())
 		}
 	}
 }
 
-// fromOwn takes what the own switch passes on about the circuits of the group to f.
-func (c *Core) fromOwn(f *far, m *isup.Message) {
-	if m.Type == isup.IAM {
-		c.seized(f, m)
+// handleFromOwn handles a message that the own switch passes on about the circuits of the trunk group to an exchange.
+func (c *Core) handleFromOwn(far *farExchange, message *isup.Message) {
+	if message.Type == isup.IAM {
+		c.handleFarIAM(far, message)
 		return
 	}
-	state, id := f.group.Circuit(m.CIC)
-	f.group.FromOwn(m)
-	c.acts(f)
-	if (m.Type == isup.REL || m.Type == isup.RLC) && state == trunk.Incoming {
-		if k := c.calls[id]; k != nil && k.from == f && k.fromCIC == m.CIC {
-			cause := m.Cause
-			if m.Type == isup.RLC {
+	state, id := far.group.Circuit(message.CIC)
+	far.group.FromOwn(message)
+	c.runGroupActions(far)
+	if (message.Type == isup.REL || message.Type == isup.RLC) && state == trunk.Incoming {
+		if call := c.calls[id]; call != nil && call.inExchange == far && call.inCIC == message.CIC {
+			cause := message.Cause
+			if message.Type == isup.RLC {
 				cause = isup.CauseTemporary
 			}
-			c.callerLeft(k, cause)
+			c.callerReleased(call, cause)
 		}
 	}
 }
 
-// seized takes an IAM of the far end: a call to the own subscribers, which only holds a circuit, or one in transit.
-func (c *Core) seized(f *far, m *isup.Message) {
-	if dest, ok := c.numbers.Lookup(m.Called); ok && dest == c.cfg.PointCode {
-		f.group.FarSeized(m.CIC, 0)
-		c.acts(f)
+// handleFarIAM handles an IAM of the far end: a call to the own subscribers, which only seizes a circuit here, or a transit
+// call.
+func (c *Core) handleFarIAM(far *farExchange, message *isup.Message) {
+	if destination, ok := c.numbers.Lookup(message.Called); ok && destination == c.cfg.PointCode {
+		far.group.FarSeized(message.CIC, 0)
+		c.runGroupActions(far)
 		return
 	}
-	k, cause := c.newCall(m, true, nil)
+	call, cause := c.newCall(message, true, nil)
 	id := uint64(0)
-	if k != nil {
-		id = k.id
+	if call != nil {
+		id = call.id
 	}
-	verdict := f.group.FarSeized(m.CIC, id)
-	c.acts(f)
-	if verdict != trunk.SeizureAccepted {
+	result := far.group.FarSeized(message.CIC, id)
+	c.runGroupActions(far)
+	if result != trunk.SeizureAccepted {
 		return
 	}
-	if k == nil {
-		c.toOwn(f, &isup.Message{Type: isup.REL, CIC: m.CIC, Cause: cause, Location: isup.LocationTransit})
+	if call == nil {
+		c.sendToOwn(far, &isup.Message{Type: isup.REL, CIC: message.CIC, Cause: cause, Location: isup.LocationTransit})
 		return
 	}
-	k.from, k.fromCIC = f, m.CIC
+	call.inExchange, call.inCIC = far, message.CIC
 	c.Counters.Transit++
-	c.calls[k.id] = k
+	c.calls[call.id] = call
 	c.waiting++
-	c.enter(k, policy.Offered{Transit: true, AdvisedTandem: int(f.PointCode)})
+	c.offerToEngine(call, policy.Offered{Transit: true, AdvisedTandem: int(far.PointCode)})
 }
 
-// lost takes word that a call has lost its circuit.
-func (c *Core) lost(f *far, l trunk.CircuitLost) {
-	k := c.calls[l.Call]
-	if k == nil {
+// circuitLost handles the loss of a call's circuit.
+func (c *Core) circuitLost(far *farExchange, lost trunk.CircuitLost) {
+	call := c.calls[lost.Call]
+	if call == nil {
 		return
 	}
-	if !l.SeizedHere {
-		if k.from == f && k.fromCIC == l.CIC {
-			c.callerLeft(k, isup.CauseTemporary)
+	if !lost.SeizedHere {
+		if call.inExchange == far && call.inCIC == lost.CIC {
+			c.callerReleased(call, isup.CauseTemporary)
 		}
 		return
 	}
-	if k.to != f || k.toCIC != l.CIC {
+	if call.outExchange != far || call.outCIC != lost.CIC {
 		return
 	}
-	if k.phase == standing {
-		c.answerNo(k, isup.CauseTemporary, isup.LocationNetwork)
-		c.over(k, Cut, isup.CauseTemporary, policy.Reset)
+	if call.phase == phaseEstablished {
+		c.releaseTowardsCaller(call, isup.CauseTemporary, isup.LocationNetwork)
+		c.endEstablished(call, Cut, isup.CauseTemporary, policy.Reset)
 		return
 	}
-	// Whatever ended it, the far end may have carried it out: a dual seizure too, whose IAM may have been taken.
-	c.returned(k, policy.Reset, policy.NoReason, false)
+	// The far end may have carried out the set-up, whatever the reason of the loss; even after a dual seizure it may have
+	// accepted the IAM.
+	c.endAttempt(call, policy.Reset, policy.NoReason, false)
 }
--- a/controller/causes.go
+++ b/controller/causes.go
@@ -5,9 +5,10 @@
 	"github.com/umbergauge/umbergauge/policy"
 )
 
-// ended translates the cause of a REL that ended a set-up into the module's words. The one who released tells where on
-// the way a processor was full: the tandem's own (LocationTransit) or the one beyond it (docs/design/controller.md).
-func ended(cause isup.Cause, loc isup.Location, direct bool) (policy.Cause, policy.Reason) {
+// attemptResult translates the cause of a REL that ended a set-up into the policy engine's terms. With cause 42 the location
+// tells whose processor was full: that of the tandem (LocationTransit) or that of the destination beyond it
+// (docs/design/controller.md).
+func attemptResult(cause isup.Cause, location isup.Location, direct bool) (policy.Cause, policy.Reason) {
 	switch cause {
 	case isup.CauseUserBusy:
 		return policy.Failed, policy.NumberBusy
@@ -19,7 +20,7 @@
 		}
 		return policy.NotSetUp, policy.Crankback
 	case isup.CauseCongestion:
-		if !direct && loc == isup.LocationNetwork {
+		if !direct && location == isup.LocationNetwork {
 			return policy.NotSetUp, policy.CrankbackFull
 		}
 		return policy.NotSetUp, policy.ProcessorFull
@@ -32,8 +33,8 @@
 	return policy.Failed, policy.NoReason
 }
 
-// told is the cause that the caller is told when an attempt has ended without a REL.
-func told(cause policy.Cause, reason policy.Reason) isup.Cause {
+// callerCause returns the cause that the caller receives for an attempt that ended without a REL.
+func callerCause(cause policy.Cause, reason policy.Reason) isup.Cause {
 	switch cause {
 	case policy.TimedOut:
 		if reason == policy.NoAnswer {
@@ -52,5 +53,5 @@
 	return isup.CauseCongestion
 }
 
-// clears tells whether the end of a standing call is an ordinary hang-up.
-func clears(cause isup.Cause) bool { return cause == isup.CauseNormal }
+// isNormalClearing tells whether an established call ended because a party hung up.
+func isNormalClearing(cause isup.Cause) bool { return cause == isup.CauseNormal }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,8 +1,9 @@
-// Package controller is one call controller without its sockets: frames and the time go in, frames come out. It keeps
-// the call table, the circuits and the timers, tells package policy each event and does what that says. It makes no
-// choice of its own of routes, windows, holds, refusals or further attempts.
+// Package controller implements one call controller without I/O: it is driven by received frames and the current
+// time, and hands the frames to send to a Port. It keeps the call table, the circuits and the timers, reports each
+// event to package policy and carries out the resulting actions. Routes, windows, the holding of calls, refusals and
+// further attempts are decided by package policy alone.
 //
-// See docs/design/controller.md for the network that it stands in and for what each message means to it.
+// docs/design/controller.md describes the surrounding network and the handling of each message.
 package controller
 
 import (
@@ -23,144 +24,146 @@
 	"github.com/umbergauge/umbergauge/trunk"
 )
 
-// Config is what a controller is told when it starts.
+// Config holds the settings of a controller.
 type Config struct {
 	PointCode uint32
-	Network   byte          // network indicator of DATA
-	Policy    policy.Config // Self is taken from PointCode
-	Exchanges []Exchange    // the own one among them
-	Classes   []Class       // in the order of Brain.Classes
-	Tenants   []string      // names, in the order of Brain.Tenants
-
-	AnswerMargin time.Duration // a final answer leaves so long before the caller gives up, for its way
-	CutMemory    time.Duration // a call that was cut and comes again is known as such so long
-	Hops         byte          // hop counter of a call that brings none
-	MaxCalls     int           // open calls; more are refused with cause 42
+	Network   byte          // network indicator in DATA messages
+	Policy    policy.Config // Self is set from PointCode
+	Exchanges []Exchange    // all exchanges, the own one included
+	Classes   []Class       // in the order of Policy.Classes
+	Tenants   []string      // names, in the order of Policy.Tenants
+
+	AnswerMargin time.Duration // a final answer is sent this long before the caller gives up, to allow for its transmission
+	CutMemory    time.Duration // how long a cut call is remembered, to recognise it when the caller dials again
+	Hops         byte          // hop counter of a call that arrives without one
+	MaxCalls     int           // limit of open calls; further ones are refused with cause 42
 	Trunk        trunk.Timers
-	ClientT1     time.Duration // REL to a client without RLC is sent again, five times
-	T7           time.Duration // a set-up awaits ACM, ANM or CON so long at the most (Q.764, annex A); 0: 20 s
-	T9           time.Duration // ... and a number that rings ANM; 0: 90 s
+	ClientT1     time.Duration // interval of up to five retransmissions of REL to a client that does not send RLC
+	T7           time.Duration // longest wait of a set-up for ACM, ANM or CON (Q.764, annex A); 0: 20 s
+	T9           time.Duration // longest wait of a ringing call for ANM; 0: 90 s
 
-	// Recovery is T(r): calls of an application server outlive the loss of its last association so long, and
-	// RecoveryOctets bounds what is kept for it meanwhile.
+	// Recovery is T(r): how long the calls of an application server survive the loss of its last association.
+	// RecoveryOctets bounds the messages that are queued for it meanwhile.
 	Recovery       time.Duration
 	RecoveryOctets int
 
-	// Admission is the door in front of the module: limits of each client and of all, and of each tenant.
+	// Admission limits the calls of each client and of all clients before they reach the policy engine, TenantAdmission
+	// those of each tenant.
 	Admission       admission.Config
 	TenantAdmission admission.Limits
 
-	// Hooks are the scripts' hooks; nil: there are none.
+	// Hooks runs the scripts' hooks; nil: there are none.
 	Hooks Hooks
-	// HookDeadline is how long a call waits for its hooks, before it goes on as without them.
+	// HookDeadline is how long a call waits for the result of its hooks before it proceeds without them.
 	HookDeadline time.Duration
 
-	// Engine makes the module; nil: policy.New. Another is for comparisons only, on days that are played.
+	// Engine makes the policy engine; nil: policy.New. Others serve only as baselines in simulated scenarios.
 	Engine func(policy.Config) (Engine, error)
 }
 
-// Hooks run scripts beside the controller. Its methods don't block.
+// Hooks runs scripts outside the controller's goroutine. Its methods don't block.
 type Hooks interface {
-	// Live is the set that a call belongs to that comes now, or nil.
+	// Live returns the hook set that new calls use, or nil.
 	Live() *hooks.Set
-	// Submit hands an event to the hooks of a set; Core.Advise brings their answer, if it comes. false: they are too busy.
-	Submit(a HookRequest) bool
+	// Submit queues an event for the hooks of a set; their result, if any, is passed to Core.Advise. false: the queue is full.
+	Submit(request HookRequest) bool
 }
 
-// HookRequest is a question to hooks.
+// HookRequest asks for one run of a call's hooks.
 type HookRequest struct {
 	Call  uint64
-	Seq   uint32 // names the question among those of its call
+	Seq   uint32 // distinguishes the requests of one call
 	Set   *hooks.Set
-	Kind  string // script.Arrival, with script.Route after it, or script.AttemptEnd
+	Kind  string // script.Arrival, which includes script.Route, or script.AttemptEnd
 	Event script.Event
 }
 
-// Engine decides. In the program it is *policy.Engine.
+// Engine makes the decisions on calls. In production it is *policy.Engine.
 type Engine interface {
-	Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action
+	Handle(now time.Duration, event policy.Event, out []policy.Action) []policy.Action
 	View(out []policy.View) []policy.View
 }
 
-// Exchange is one exchange as settings know it.
+// Exchange describes one exchange of the settings.
 type Exchange struct {
 	PointCode uint32
 	Name      string
 	Address   string   // of its switch
-	Circuits  int      // of the trunk group to it; 0: none
-	Prefixes  []string // numbers behind it
+	Circuits  int      // size of the trunk group to it; 0: no trunk group
+	Prefixes  []string // prefixes of the numbers that it serves
 }
 
-// Class is a call class as signalling shows it.
+// Class describes how a call class appears in signalling, and how long its callers wait.
 type Class struct {
 	Name       string
-	Categories []isup.Category // calling party's categories that mark it; those of no class are of the first
-	Patience   time.Duration   // its callers give up after this, unless it rings by then ...
-	Ring       time.Duration   // ... and then they let it ring so long; 0: 60 s
+	Categories []isup.Category // calling party's categories of the class; categories listed in no class belong to the first
+	Patience   time.Duration   // callers give up after this, unless the call rings by then
+	Ring       time.Duration   // how long callers let it ring; 0: 60 s
 }
 
-// AssocID names an association.
+// AssocID identifies an association.
 type AssocID uint32
 
-// PeerKind tells whom an association leads to.
+// PeerKind is the kind of peer of an association.
 type PeerKind uint8
 
-// The kinds.
+// The kinds of peers.
 const (
 	Client    PeerKind = iota
 	FarSwitch          // the switch of another exchange
-	OwnSwitch          // the own one
+	OwnSwitch          // the switch of the own exchange
 )
 
-// Peer is the other end of an association.
+// Peer describes the other end of an association.
 type Peer struct {
 	Kind    PeerKind
-	PC      uint32 // of a switch
-	Address string // of a switch: where it was reached
-	Tenant  int    // of a client
+	PC      uint32 // of a switch: its point code
+	Address string // of a switch: the address that was connected to
+	Tenant  int    // of a client: index into Config.Tenants
 	Name    string
-	// ASP is a client's ASP identifier. With Override (RFC 4666, 4.3.4.3) the association takes the place of every other one
-	// of that identifier: a client that comes again while its old connection is half open says so.
+	// ASP is a client's ASP identifier. With Override (RFC 4666, 4.3.4.3) the association replaces every other one with
+	// that identifier: a client sets it when it reconnects while its old connection may be half-open.
 	ASP      uint32
 	Override bool
-	// Server names the application server that the association is one of several of, with its traffic mode; empty: the
-	// association stands by itself, and its calls end with it.
+	// Server names the application server of a client with several associations, and Mode is its traffic mode. Empty: the
+	// client has this association only, and its calls end when it is lost.
 	Server string
 	Mode   uint32
 }
 
-// Port is where a controller's frames go. Its methods don't block.
+// Port sends a controller's frames and receives its notifications. Its methods don't block.
 type Port interface {
-	// Send queues a frame, which is copied; false: the queue is full or the association is gone.
-	Send(a AssocID, frame []byte) bool
-	// Unsent takes the frames that were queued on an association which is lost, and never handed to its connection.
-	Unsent(a AssocID) []byte
-	// Close ends an association that is of no use any more; Down follows.
-	Close(a AssocID, why string)
-	// CallEnded tells of each call that has ended or been answered.
+	// Send copies and queues a frame; false: the queue is full or the association is closed.
+	Send(id AssocID, frame []byte) bool
+	// Unsent removes and returns the frames of a lost association that were queued but never passed to its connection.
+	Unsent(id AssocID) []byte
+	// Close closes an association that can no longer be used; Core.AssocDown is called afterwards.
+	Close(id AssocID, reason string)
+	// CallEnded reports each call that has been answered or has ended.
 	CallEnded(e CallRecord)
-	// ExchangeChanged tells of each change of the list of exchanges.
+	// ExchangeChanged reports each change in the list of exchanges.
 	ExchangeChanged(e policy.Entry, cold bool)
 }
 
-// Outcome is how a call came out.
+// Outcome is the result of a call.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Answered  Outcome = iota // answered
-	Refused                  // the module's Refuse, or a call that cannot be routed at all
-	Failed                   // the module's Fail
-	Abandoned                // the caller left before an answer
-	Finished                 // stood, and was hung up
-	Cut                      // stood, and was cut
+	Answered  Outcome = iota // answered: the call is established
+	Refused                  // refused by the policy engine or a hook, or not routable
+	Failed                   // given up by the policy engine
+	Abandoned                // released by the caller, or the caller's association lost, before an answer
+	Finished                 // established, then released normally
+	Cut                      // established, then lost to a fault
 )
 
-func (o Outcome) String() string {
-	return [...]string{"stands", "refused", "failed", "left", "finished", "cut"}[o]
+// String returns the outcome's name in metric labels and log lines.
+func (outcome Outcome) String() string {
+	return [...]string{"stands", "refused", "failed", "left", "finished", "cut"}[outcome]
 }
 
-// CallRecord is one line of a call's life.
+// CallRecord reports that a call has been answered or has ended.
 type CallRecord struct {
 	Outcome  Outcome
 	Call     uint64
@@ -169,18 +172,18 @@
 	Transit  bool
 	Called   isup.Number
 	To       uint32 // destination exchange
-	Via      uint32 // last route's exchange; 0: none was tried
+	Via      uint32 // exchange of the last attempt; 0: no attempt was made
 	Attempts int
 	Cause    isup.Cause
-	After    time.Duration // since the call came
-	SetUp    time.Duration // of a call that stands: till it rang, or till the answer if none said so
+	After    time.Duration // time since the call arrived
+	SetUp    time.Duration // of an answered call: time until it rang, or until the answer if no ACM or CPG came
 	Calling  isup.Number
 	Category isup.Category
-	Set      *hooks.Set // of the call's hooks, or nil
-	Tags     []string   // that they put on it
+	Set      *hooks.Set // the call's hook set, or nil
+	Tags     []string   // set by the hooks
 }
 
-// Counters are totals since the start.
+// Counters are totals since the start. They are written out as JSON under their field names.
 type Counters struct {
 	Offered, Transit, Attempts, Established, Refused, Failed                    uint64
 	Abandoned                                                                   uint64 `json:"Left"`
@@ -191,618 +194,635 @@
 	HookAsked, HookLate, HookBusy, HookRefused                                  uint64
 }
 
+// phase is the phase of an open call.
 type phase uint8
 
 const (
-	offered phase = iota
-	standing
-	over
+	phaseOffered phase = iota // no final answer yet
+	phaseEstablished
+	phaseEnded
 )
 
-// call is one open call.
-type call struct {
-	id       uint64
-	leg      *leg // its client's circuit; nil in transit
-	from     *far // in transit: the group that it came in by ...
-	fromCIC  uint16
-	class    int
-	tenant   int
-	phase    phase
-	iam      isup.Message // as it goes out, but for circuit, hop counter and delay
-	dest     uint32
-	arrived  time.Duration
-	delay    time.Duration // it had been under way so long when it came
-	attempts int
-	to       *far // the attempt out, or the standing call's way
-	toCIC    uint16
-	sentAt   time.Duration
-	timeOut  timer.Handle
-	via      uint32
-	cut      bool              // it stood, was cut and comes again
-	door     *admission.Client // its client's account; nil in transit
-	account  int               // its client's tenant, whatever hooks make of it
-	progress bool              // ACM has been passed back
-	rings    bool              // the attempt out has passed ACM: the processor's part is over
-	rangAt   time.Duration     // when the caller was first told so; 0: not yet
-	cause    isup.Cause
-	loc      isup.Location
-
-	set     *hooks.Set // of its hooks
-	asking  asking
-	askSeq  uint32
-	askTime timer.Handle
-	tags    []string
+// openCall is one open call.
+type openCall struct {
+	id              uint64
+	clientCircuit   *clientCircuit // the client's circuit; nil in transit
+	inExchange      *farExchange   // in transit: the exchange whose trunk group the call came in on
+	inCIC           uint16
+	class           int
+	tenant          int
+	phase           phase
+	iam             isup.Message // the IAM to send, except for circuit, hop counter and delay
+	destination     uint32
+	arrivedAt       time.Duration
+	earlierDelay    time.Duration // delay that the call already had when it arrived
+	attempts        int
+	outExchange     *farExchange // exchange of the outstanding attempt or of the established call
+	outCIC          uint16
+	sentAt          time.Duration
+	attemptTimer    timer.Handle
+	via             uint32
+	cutBefore       bool              // the caller dials again after an established call was cut
+	limits          *admission.Client // the client's state in the limiter; nil in transit
+	admissionTenant int               // the client's tenant, which the limits count it for even if hooks change tenant
+	progressSent    bool              // ACM has been sent towards the caller
+	alerting        bool              // the outstanding attempt has passed ACM: the far processor's part is done
+	ringingSince    time.Duration     // when ringing was first reported to the caller; 0: not yet
+	cause           isup.Cause
+	location        isup.Location
+
+	hookSet   *hooks.Set // the hook set of its arrival, or nil
+	hookWait  hookWait
+	hookSeq   uint32
+	hookTimer timer.Handle // the hooks' deadline
+	tags      []string
 }
 
-// asking tells which hooks a call waits for.
-type asking uint8
+// hookWait tells which hooks a call waits for.
+type hookWait uint8
 
 const (
-	askNone    asking = iota
-	askArrival        // the module has not been told of the call
-	askEnd            // the attempt has ended, its circuit is free, and the module has not been told
+	hookWaitNone       hookWait = iota
+	hookWaitArrival             // the policy engine does not know the call yet
+	hookWaitAttemptEnd          // the attempt has ended and its circuit is free, but the policy engine has not been notified
 )
 
-// leg is one circuit of a client.
-type leg struct {
-	assoc   *assoc
-	opc     uint32
-	cic     uint16
-	call    *call // nil: REL sent, RLC awaited
-	cause   isup.Cause
-	repeats int
-	timer   timer.Handle
-	// congestion is the automatic congestion level that its REL carries; 0: none
+// clientCircuit is one circuit of a client that is in use or being released.
+type clientCircuit struct {
+	association     *association
+	opc             uint32
+	cic             uint16
+	openCall        *openCall // nil: REL has been sent and RLC is awaited
+	cause           isup.Cause
+	retransmissions int
+	timer           timer.Handle
+	// congestion is the automatic congestion level in its REL; 0: none
 	congestion byte
 }
 
-type assoc struct {
-	id   AssocID
-	peer Peer
-	far  *far
-	legs map[uint64]*leg // of a client
-	door *admission.Client
-	// server is the client that the association is one of several of, and shares legs and door with; nil: it has no other.
-	server *server
+// association is an association that is up.
+type association struct {
+	id          AssocID
+	peer        Peer
+	farExchange *farExchange
+	circuits    map[uint64]*clientCircuit // of a client
+	limits      *admission.Client
+	// appServer is set for a client with several associations, which share circuits and limits; nil: it has only this one.
+	appServer *appServer
 }
 
-// server is a client with several associations.
-type server struct {
-	name  string
-	as    *m3ua.AS
-	first *assoc // whose legs, door and tenant are those of all
-	timer timer.Handle
+// appServer is a client with several associations.
+type appServer struct {
+	name       string
+	as         *m3ua.AS
+	firstAssoc *association // its circuits, limits and tenant are those of all
+	timer      timer.Handle
 }
 
-// far is another exchange.
-type far struct {
+// farExchange is another exchange.
+type farExchange struct {
 	Exchange
-	index  int
-	assoc  *assoc
-	group  *trunk.Group // nil: no group
-	dirty  bool         // its circuits have changed since the module was told
-	health policy.Health
-	// launched is the start that the module was told; doubt: signalling was lost since, so it may have started anew.
-	launched time.Duration
-	doubt    bool
-	known    bool // since then it has named a call that stands
-	seen     bool // it has been reached once
-	// asked is when REL went out on a circuit, by CIC; wait is how long the switch takes to answer it with RLC, smoothed:
-	// processor's work that no subscriber has a part in. heard: the module has not been told of it.
-	asked []time.Duration
-	wait  time.Duration
-	heard bool
+	index       int
+	association *association
+	group       *trunk.Group // nil: no group
+	dirty       bool         // its circuits have changed since the policy engine was last notified
+	health      policy.Health
+	// launched is the start time reported to the policy engine. mayHaveRestarted: signalling was lost since then, so the
+	// switch may have restarted.
+	launched         time.Duration
+	mayHaveRestarted bool
+	knowsCalls       bool // since signalling came up it has reported an established call of ours
+	reached          bool // an association to it has been up before
+	// releaseSentAt is when REL was sent on a circuit, by CIC. releaseDelay is the smoothed time until the switch answers
+	// with RLC, which depends on its processor alone and on no subscriber. releaseDelayChanged: the policy engine has not
+	// been notified of it.
+	releaseSentAt       []time.Duration
+	releaseDelay        time.Duration
+	releaseDelayChanged bool
 }
 
-type alarmKind uint8
+// timerKind tells what a timer is for.
+type timerKind uint8
 
 const (
-	moduleTimer alarmKind = iota
-	attemptTimer
-	trunkTimer
-	legTimer
-	hookTimer
-	recoveryTimer
+	timerPolicy timerKind = iota
+	timerAttempt
+	timerTrunk
+	timerClientRelease
+	timerHooks
+	timerRecovery
 )
 
-type alarm struct {
-	kind alarmKind
-	seq  uint32
-	id   uint64
-	far  *far
-	wake trunk.TimerID
-	leg  *leg
-	as   *server
+// timerEvent is the content of a timer in the timer wheel.
+type timerEvent struct {
+	kind          timerKind
+	seq           uint32
+	id            uint64
+	farExchange   *farExchange
+	trunkTimer    trunk.TimerID
+	clientCircuit *clientCircuit
+	as            *appServer
 }
 
-type pair struct{ calling, called isup.Number }
+// numberPair is the calling and called number of a call.
+type numberPair struct{ calling, called isup.Number }
 
+// cutCall is a call that was cut, with the time.
 type cutCall struct {
-	pair
+	numberPair
 	at time.Duration
 }
 
-// Core is one call controller. It is driven by one goroutine.
+// Core is one call controller. All its methods are called from one goroutine.
 type Core struct {
 	Counters Counters
 
-	cfg       Config
-	port      Port
-	module    Engine
-	now       time.Duration
-	wheel     *timer.Wheel[alarm]
-	calls     map[uint64]*call
-	lastID    uint64
-	waiting   int // calls owed a final answer
-	numbers   numbering.Table[uint32]
-	fars      []*far
-	byPC      map[uint32]*far
-	byAddr    map[string]*far
-	assocs    map[AssocID]*assoc
-	servers   map[string]*server
-	routed    []uint32
-	door      *admission.Limiter
-	tenants   *admission.Limiter
-	accounts  []*admission.Client // of tenants
-	own       *assoc
-	classOf   [256]uint8
-	dirty     []*far
-	events    []policy.Event
-	actions   []policy.Action
-	told      int // of events
-	telling   bool
-	draining  bool
-	cuts      map[pair]time.Duration
-	cutOrder  []cutCall
-	frame     []byte
-	user      []byte
-	msg       isup.Message
-	spareCall []*call
-	ringing   int
-	ownAddr   string
-	late      time.Duration // sum of the lateness of events ...
-	lateOf    int           // ... of so many
-	lateTold  time.Duration
-	ownHold   float64 // share of set-ups that the own switch asks to keep back, until it says otherwise
+	cfg                  Config
+	port                 Port
+	engine               Engine
+	now                  time.Duration
+	wheel                *timer.Wheel[timerEvent]
+	calls                map[uint64]*openCall
+	lastID               uint64
+	waiting              int // calls that have no final answer yet
+	numbers              numbering.Table[uint32]
+	farExchanges         []*farExchange
+	byPC                 map[uint32]*farExchange
+	byAddress            map[string]*farExchange
+	assocs               map[AssocID]*association
+	servers              map[string]*appServer
+	routeBuffer          []uint32 // reused
+	limits               *admission.Limiter
+	tenantLimits         *admission.Limiter
+	tenantClients        []*admission.Client // of tenants
+	ownSwitch            *association
+	classByCategory      [256]uint8
+	dirty                []*farExchange // exchanges whose circuits have changed since the last Flush
+	events               []policy.Event
+	actions              []policy.Action
+	handled              int // number of events that have been passed to the engine
+	dispatching          bool
+	draining             bool
+	cutCalls             map[numberPair]time.Duration
+	cutCallOrder         []cutCall
+	frameBuffer          []byte       // reused for each frame
+	userBuffer           []byte       // reused for each ISUP message
+	decoded              isup.Message // the message being handled; reused
+	freeCalls            []*openCall  // for reuse
+	ringing              int
+	ownAddress           string
+	queueDelaySum        time.Duration // sum of the event-queue delays since the last report
+	queueDelayCount      int           // number of events in queueDelaySum
+	queueDelayReportedAt time.Duration
+	ownReduction         float64 // share of set-ups that the own switch asks to hold back, by its last SCON
 }
 
-// New makes a controller. now is the present time, which must be above zero.
+// New makes a controller. now is the current time, which must be above zero.
 func New(cfg Config, port Port, now time.Duration) (*Core, error) {
 	cfg.Policy.Self = int(cfg.PointCode)
-	var module Engine
+	var engine Engine
 	var err error
 	if cfg.Engine != nil {
-		module, err = cfg.Engine(cfg.Policy)
+		engine, err = cfg.Engine(cfg.Policy)
 	} else {
-		module, err = policy.New(cfg.Policy)
+		engine, err = policy.New(cfg.Policy)
 	}
 	if err != nil {
 		return nil, err
 	}
 	if len(cfg.Classes) != len(cfg.Policy.Classes) {
-		return nil, errors.New("the classes differ from the module's")
+		return nil, errors.New("number of classes differs from that of the policy's classes")
 	}
 	if cfg.MaxCalls <= 0 {
 		cfg.MaxCalls = math.MaxInt32
 	}
-	def := func(d *time.Duration, v time.Duration) {
-		if *d <= 0 {
-			*d = v
+	setDefault := func(target *time.Duration, value time.Duration) {
+		if *target <= 0 {
+			*target = value
 		}
 	}
-	def(&cfg.ClientT1, 15*time.Second)
-	def(&cfg.T7, 20*time.Second)
-	def(&cfg.T9, 90*time.Second)
-	def(&cfg.Trunk.T1, 15*time.Second)
+	setDefault(&cfg.ClientT1, 15*time.Second)
+	setDefault(&cfg.T7, 20*time.Second)
+	setDefault(&cfg.T9, 90*time.Second)
+	setDefault(&cfg.Trunk.T1, 15*time.Second)
 	cfg.Classes = slices.Clone(cfg.Classes)
 	for i := range cfg.Classes {
-		def(&cfg.Classes[i].Ring, time.Minute)
+		setDefault(&cfg.Classes[i].Ring, time.Minute)
 	}
-	c := &Core{cfg: cfg, port: port, module: module, now: now, wheel: timer.New[alarm](now, time.Millisecond),
-		calls: map[uint64]*call{}, byPC: map[uint32]*far{}, byAddr: map[string]*far{}, assocs: map[AssocID]*assoc{}, servers: map[string]*server{},
-		cuts: map[pair]time.Duration{}}
-	c.door, c.tenants = admission.New(cfg.Admission), admission.New(admission.Config{Client: cfg.TenantAdmission})
+	c := &Core{cfg: cfg, port: port, engine: engine, now: now, wheel: timer.New[timerEvent](now, time.Millisecond),
+		calls: map[uint64]*openCall{}, byPC: map[uint32]*farExchange{}, byAddress: map[string]*farExchange{}, assocs: map[AssocID]*association{}, servers: map[string]*appServer{},
+		cutCalls: map[numberPair]time.Duration{}}
+	c.limits, c.tenantLimits = admission.New(cfg.Admission), admission.New(admission.Config{Client: cfg.TenantAdmission})
 	for range cfg.Tenants {
-		c.accounts = append(c.accounts, c.tenants.AddClient(now))
+		c.tenantClients = append(c.tenantClients, c.tenantLimits.AddClient(now))
 	}
-	for i, cl := range cfg.Classes {
-		for _, cat := range cl.Categories {
-			c.classOf[cat] = uint8(i)
+	for i, class := range cfg.Classes {
+		for _, category := range class.Categories {
+			c.classByCategory[category] = uint8(i)
 		}
 	}
-	if err := c.adopt(cfg.Exchanges); err != nil {
+	if err := c.applyExchanges(cfg.Exchanges); err != nil {
 		return nil, err
 	}
-	entries := make([]policy.Entry, 0, len(c.fars))
-	for _, f := range c.fars {
-		entries = append(entries, f.entry())
+	entries := make([]policy.Entry, 0, len(c.farExchanges))
+	for _, far := range c.farExchanges {
+		entries = append(entries, far.entry())
 	}
-	for _, x := range cfg.Exchanges {
-		if x.PointCode == cfg.PointCode {
-			c.ownAddr = x.Address
-			entries = append(entries, policy.Entry{Address: x.Address, PointCode: int(x.PointCode)})
+	for _, exchange := range cfg.Exchanges {
+		if exchange.PointCode == cfg.PointCode {
+			c.ownAddress = exchange.Address
+			entries = append(entries, policy.Entry{Address: exchange.Address, PointCode: int(exchange.PointCode)})
 		}
 	}
-	c.tell(policy.List{Full: true, Entries: entries})
+	c.dispatch(policy.List{Full: true, Entries: entries})
 	return c, nil
 }
 
-// adopt takes the exchanges of the settings. Those known before keep their groups and calls.
-func (c *Core) adopt(exchanges []Exchange) error {
+// applyExchanges applies the exchanges of the settings. Exchanges that exist already keep their trunk groups and calls.
+func (c *Core) applyExchanges(exchanges []Exchange) error {
 	var numbers numbering.Table[uint32]
-	for _, x := range exchanges {
-		for _, p := range x.Prefixes {
-			if err := numbers.Add(p, x.PointCode); err != nil {
-				return fmt.Errorf("exchange %d: %w", x.PointCode, err)
+	for _, exchange := range exchanges {
+		for _, prefix := range exchange.Prefixes {
+			if err := numbers.Add(prefix, exchange.PointCode); err != nil {
+				return fmt.Errorf("exchange %d: %w", exchange.PointCode, err)
 			}
 		}
 	}
-	for _, x := range exchanges {
-		if x.PointCode == c.cfg.PointCode {
+	for _, exchange := range exchanges {
+		if exchange.PointCode == c.cfg.PointCode {
 			continue
 		}
-		f := c.byPC[x.PointCode]
-		if f == nil {
-			f = &far{Exchange: x, index: len(c.fars)}
-			if x.Circuits > 0 {
-				g, err := trunk.New(c.cfg.Trunk, c.cfg.PointCode, x.PointCode, x.Circuits)
+		far := c.byPC[exchange.PointCode]
+		if far == nil {
+			far = &farExchange{Exchange: exchange, index: len(c.farExchanges)}
+			if exchange.Circuits > 0 {
+				g, err := trunk.New(c.cfg.Trunk, c.cfg.PointCode, exchange.PointCode, exchange.Circuits)
 				if err != nil {
 					return err
 				}
-				f.group, f.asked = g, make([]time.Duration, x.Circuits+1)
+				far.group, far.releaseSentAt = g, make([]time.Duration, exchange.Circuits+1)
 			}
-			c.fars = append(c.fars, f)
-			c.byPC[x.PointCode] = f
-			c.byAddr[x.Address] = f
+			c.farExchanges = append(c.farExchanges, far)
+			c.byPC[exchange.PointCode] = far
+			c.byAddress[exchange.Address] = far
 		}
-		f.Name, f.Prefixes = x.Name, x.Prefixes
-		c.touch(f)
+		far.Name, far.Prefixes = exchange.Name, exchange.Prefixes
+		c.markDirty(far)
 	}
 	c.numbers = numbers
 	return nil
 }
 
-// Reload takes a changed list of exchanges: names, prefixes and new exchanges. What it cannot change is an error, and
-// then nothing is changed: sizes of groups, and exchanges that are missing.
+// Reload applies changed settings of exchanges: names, prefixes and new exchanges. A changed size of a trunk group or a
+// missing exchange is an error, and nothing is changed then.
 func (c *Core) Reload(now time.Duration, exchanges []Exchange) error {
 	c.now = now
-	for _, f := range c.fars {
-		i := slices.IndexFunc(exchanges, func(x Exchange) bool { return x.PointCode == f.PointCode })
+	for _, far := range c.farExchanges {
+		i := slices.IndexFunc(exchanges, func(exchange Exchange) bool { return exchange.PointCode == far.PointCode })
 		if i < 0 {
-			return fmt.Errorf("exchange %d is missing: drain it and start anew to take it out", f.PointCode)
+			return fmt.Errorf("exchange %d is missing: removing it requires a drain and a restart", far.PointCode)
 		}
-		if exchanges[i].Circuits != f.Circuits {
-			return fmt.Errorf("exchange %d: the size of its group changes only with a new start", f.PointCode)
+		if exchanges[i].Circuits != far.Circuits {
+			return fmt.Errorf("exchange %d: changing the size of its trunk group requires a restart", far.PointCode)
 		}
 	}
-	known := len(c.fars)
-	if err := c.adopt(exchanges); err != nil {
+	known := len(c.farExchanges)
+	if err := c.applyExchanges(exchanges); err != nil {
 		return err
 	}
 	var entries []policy.Entry
-	for _, f := range c.fars[known:] {
-		f.launched, f.doubt = now, true // nothing is known of it: taken for cold
-		entries = append(entries, f.entry())
+	for _, far := range c.farExchanges[known:] {
+		far.launched, far.mayHaveRestarted = now, true // its start time is unknown, so it is treated as cold
+		entries = append(entries, far.entry())
 	}
-	c.listed(entries...)
+	c.listChanged(entries...)
 	return nil
 }
 
-// listed tells the module of changes of the list, and the hooks.
-func (c *Core) listed(entries ...policy.Entry) {
+// listChanged notifies the policy engine and the hooks of changes in the list of exchanges.
+func (c *Core) listChanged(entries ...policy.Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	c.tell(policy.List{Entries: entries})
-	for _, e := range entries {
-		c.port.ExchangeChanged(e, e.Launched > 0 && c.now < e.Launched+c.cfg.Policy.WarmUp)
+	c.dispatch(policy.List{Entries: entries})
+	for _, entry := range entries {
+		c.port.ExchangeChanged(entry, entry.Launched > 0 && c.now < entry.Launched+c.cfg.Policy.WarmUp)
 	}
 }
 
-func (f *far) entry() policy.Entry {
-	return policy.Entry{Address: f.Address, PointCode: int(f.PointCode), Health: f.health, Launched: f.launched}
+func (far *farExchange) entry() policy.Entry {
+	return policy.Entry{Address: far.Address, PointCode: int(far.PointCode), Health: far.health, Launched: far.launched}
 }
 
-// Next is the time at which Tick is due, or ok is false.
+// Next returns the time at which Tick is due; false: no timer is set.
 func (c *Core) Next() (time.Duration, bool) { return c.wheel.Next() }
 
-// Tick lets time pass.
+// Tick advances the time and handles the timers that have expired.
 func (c *Core) Tick(now time.Duration) {
 	c.now = now
-	c.wheel.Advance(now, func(a alarm) {
-		switch a.kind {
-		case moduleTimer:
-			c.tell(policy.Timer{ID: a.id})
-		case attemptTimer:
-			if k := c.calls[a.id]; k != nil && k.phase == offered && k.to != nil {
-				if k.rings { // T9, or as long as its caller lets it ring
+	c.wheel.Advance(now, func(event timerEvent) {
+		switch event.kind {
+		case timerPolicy:
+			c.dispatch(policy.Timer{ID: event.id})
+		case timerAttempt:
+			if call := c.calls[event.id]; call != nil && call.phase == phaseOffered && call.outExchange != nil {
+				if call.alerting { // T9, or the time that the caller lets it ring
 					c.Counters.NoAnswer++
-					c.abandon(k, isup.CauseNoAnswer)
-					c.returned(k, policy.TimedOut, policy.NoAnswer, false)
+					c.releaseOutgoing(call, isup.CauseNoAnswer)
+					c.endAttempt(call, policy.TimedOut, policy.NoAnswer, false)
 					break
 				}
 				c.Counters.TimedOut++
-				c.abandon(k, isup.CauseTimer)
-				c.returned(k, policy.TimedOut, policy.NoReason, false)
+				c.releaseOutgoing(call, isup.CauseTimer)
+				c.endAttempt(call, policy.TimedOut, policy.NoReason, false)
 			}
-		case trunkTimer:
-			a.far.group.TimerExpired(a.wake)
-			c.acts(a.far)
-		case legTimer:
-			c.repeatRelease(a.leg)
-		case hookTimer:
-			c.hooksLate(a.id, a.seq)
-		case recoveryTimer:
-			if a.as.as.Expire(c.now) {
-				c.serverGone(a.as)
+		case timerTrunk:
+			event.farExchange.group.TimerExpired(event.trunkTimer)
+			c.runGroupActions(event.farExchange)
+		case timerClientRelease:
+			c.retransmitRelease(event.clientCircuit)
+		case timerHooks:
+			c.hooksTimedOut(event.id, event.seq)
+		case timerRecovery:
+			if event.as.as.Expire(c.now) {
+				c.closeServer(event.as)
 			}
 		}
 	})
 }
 
-// Flush tells the module which trunk groups have changed. It is called when what has come in together is handled, and
-// so often that no change waits.
+// Flush notifies the policy engine of the trunk groups that have changed and, every queueDelayReportInterval, of the own
+// load. It is called after each batch of events, so that no change stays unreported.
 func (c *Core) Flush(now time.Duration) {
 	c.now = now
-	for i := 0; i < len(c.dirty); i++ { // the module may seize circuits in between
-		f := c.dirty[i]
-		f.dirty = false
-		r := f.report()
-		if f.heard {
-			r.Wait, f.heard = f.wait.Seconds(), false
+	for i := 0; i < len(c.dirty); i++ { // the policy engine may seize circuits meanwhile and extend the list
+		far := c.dirty[i]
+		far.dirty = false
+		report := far.groupReport()
+		if far.releaseDelayChanged {
+			report.Wait, far.releaseDelayChanged = far.releaseDelay.Seconds(), false
 		}
-		c.tell(policy.Status{Exchange: f.Address, OK: true, Report: r})
+		c.dispatch(policy.Status{Exchange: far.Address, OK: true, Report: report})
 	}
 	c.dirty = c.dirty[:0]
-	if c.ownAddr != "" && now >= c.lateTold+lateEvery {
-		c.lateTold = now
-		r := unknown
-		r.Wait, r.Reduction = (c.late / time.Duration(max(1, c.lateOf))).Seconds(), c.ownHold
-		c.late, c.lateOf = 0, 0
-		c.tell(policy.Status{Exchange: c.ownAddr, OK: true, Report: r})
+	if c.ownAddress != "" && now >= c.queueDelayReportedAt+queueDelayReportInterval {
+		c.queueDelayReportedAt = now
+		report := unknownReport
+		report.Wait, report.Reduction = (c.queueDelaySum / time.Duration(max(1, c.queueDelayCount))).Seconds(), c.ownReduction
+		c.queueDelaySum, c.queueDelayCount = 0, 0
+		c.dispatch(policy.Status{Exchange: c.ownAddress, OK: true, Report: report})
 	}
 }
 
-// lateEvery is how often the module is told the own lateness.
-const lateEvery = 500 * time.Millisecond
+// queueDelayReportInterval is how often the event-queue delay is reported to the policy engine.
+const queueDelayReportInterval = 500 * time.Millisecond
 
-// RecordQueueDelay notes how long events have waited for the decision goroutine: the own lateness, of n of them together.
-func (c *Core) RecordQueueDelay(sum time.Duration, n int) { c.late, c.lateOf = c.late+sum, c.lateOf+n }
+// RecordQueueDelay adds the event-queue delay of n events: the sum of their waits for the decision goroutine.
+func (c *Core) RecordQueueDelay(sum time.Duration, n int) {
+	c.queueDelaySum, c.queueDelayCount = c.queueDelaySum+sum, c.queueDelayCount+n
+}
 
-// unknown is a report that tells nothing.
-var unknown = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}
+// unknownReport is a report whose values are all unknown.
+var unknownReport = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}
 
-func (f *far) report() policy.Report {
-	r := unknown
-	if f.group != nil {
-		r.Free, r.Size = float64(f.group.Free()), float64(f.group.Size())
+// groupReport reports the circuits of the trunk group; an exchange without one has none free.
+func (far *farExchange) groupReport() policy.Report {
+	report := unknownReport
+	if far.group != nil {
+		report.Free, report.Size = float64(far.group.Free()), float64(far.group.Size())
 	} else {
-		r.Free, r.Size = 0, 0
+		report.Free, report.Size = 0, 0
 	}
-	return r
+	return report
 }
 
-func (c *Core) touch(f *far) {
-	if !f.dirty {
-		f.dirty = true
-		c.dirty = append(c.dirty, f)
+// markDirty has the next Flush report the exchange's circuits.
+func (c *Core) markDirty(far *farExchange) {
+	if !far.dirty {
+		far.dirty = true
+		c.dirty = append(c.dirty, far)
 	}
 }
 
-// tell hands events to the module, one after the other, and carries out what it says. A panic on the way leaves by here,
-// but not before the events behind the one that set it off have been told: others' calls hang on them.
-func (c *Core) tell(ev policy.Event) {
-	c.events = append(c.events, ev)
-	if c.telling {
+// dispatch passes events to the policy engine, one after the other, and carries out the resulting actions; a nested call
+// only queues its event. A panic propagates to the caller, but only after the events queued behind it have been handled:
+// other calls depend on them.
+func (c *Core) dispatch(event policy.Event) {
+	c.events = append(c.events, event)
+	if c.dispatching {
 		return
 	}
-	c.telling = true
+	c.dispatching = true
 	defer func() {
-		for c.told < len(c.events) {
+		for c.handled < len(c.events) {
 			func() {
 				defer func() { recover() }()
-				c.tellAll()
+				c.dispatchPending()
 			}()
 		}
-		c.telling, c.events, c.told = false, c.events[:0], 0
+		c.dispatching, c.events, c.handled = false, c.events[:0], 0
 	}()
-	c.tellAll()
+	c.dispatchPending()
 }
 
-func (c *Core) tellAll() {
-	for c.told < len(c.events) {
-		ev := c.events[c.told]
-		c.told++
-		c.actions = c.module.Handle(c.now, ev, c.actions[:0])
-		for _, a := range c.actions {
-			switch a := a.(type) {
+// dispatchPending passes the queued events to the policy engine.
+func (c *Core) dispatchPending() {
+	for c.handled < len(c.events) {
+		event := c.events[c.handled]
+		c.handled++
+		c.actions = c.engine.Handle(c.now, event, c.actions[:0])
+		for _, action := range c.actions {
+			switch action := action.(type) {
 			case policy.SetUp:
-				c.setUp(a)
+				c.setUp(action)
 			case policy.Refuse:
-				c.final(a.Call, Refused)
+				c.reject(action.Call, Refused)
 			case policy.Fail:
-				c.final(a.Call, Failed)
+				c.reject(action.Call, Failed)
 			case policy.SetTimer:
-				c.wheel.Set(c.now+a.After, alarm{kind: moduleTimer, id: a.ID})
+				c.wheel.Set(c.now+action.After, timerEvent{kind: timerPolicy, id: action.ID})
 			}
 		}
 	}
 }
 
-// AssocUp takes an association that is active now.
+// AssocUp adds an association that has become active.
 func (c *Core) AssocUp(now time.Duration, id AssocID, p Peer) {
 	c.now = now
-	a := &assoc{id: id, peer: p}
+	assoc := &association{id: id, peer: p}
 	switch p.Kind {
 	case Client:
 		if p.Server != "" {
-			c.serverUp(a)
+			c.serverAssocUp(assoc)
 			return
 		}
 		if c.assocs[id] != nil { // it is active already
 			return
 		}
-		a.legs, a.door = map[uint64]*leg{}, c.door.AddClient(now)
+		assoc.circuits, assoc.limits = map[uint64]*clientCircuit{}, c.limits.AddClient(now)
 		if p.Override && p.ASP != 0 {
-			c.supersede(now, p.ASP)
+			c.closeEarlierAssocs(now, p.ASP)
 		}
 	case FarSwitch:
-		f := c.byPC[p.PC]
-		if f == nil {
-			c.port.Close(id, "no such exchange")
+		far := c.byPC[p.PC]
+		if far == nil {
+			c.port.Close(id, "no exchange with this point code in the settings")
 			return
 		}
-		if f.assoc != nil { // an old association that has not been told dead yet
-			c.AssocDown(now, f.assoc.id)
+		if far.association != nil { // an old association whose loss has not been reported yet
+			c.AssocDown(now, far.association.id)
 		}
-		a.far, f.assoc = f, a
-		if p.Address != f.Address {
-			c.moved(f, p.Address)
+		assoc.farExchange, far.association = far, assoc
+		if p.Address != far.Address {
+			c.addressChanged(far, p.Address)
 		}
-		f.known = false
-		if f.group != nil {
-			f.group.Sync()
-			c.acts(f)
+		far.knowsCalls = false
+		if far.group != nil {
+			far.group.Sync()
+			c.runGroupActions(far)
 		}
-		f.seen = true
+		far.reached = true
 	case OwnSwitch:
-		c.own = a
-		m := m3ua.Message{Kind: m3ua.DAUD} // what has changed meanwhile (RFC 4666, 4.5.3)
-		for _, f := range c.fars {
-			m.Affected = append(m.Affected, m3ua.Affected{PC: f.PointCode})
-			if f.group != nil {
-				f.group.SyncOwn()
+		c.ownSwitch = assoc
+		audit := m3ua.Message{Kind: m3ua.DAUD} // asks for state changes missed meanwhile (RFC 4666, 4.5.3)
+		for _, far := range c.farExchanges {
+			audit.Affected = append(audit.Affected, m3ua.Affected{PC: far.PointCode})
+			if far.group != nil {
+				far.group.SyncOwn()
 			}
 		}
-		if len(m.Affected) > 0 {
-			c.frame = m3ua.Append(c.frame[:0], &m)
-			c.port.Send(id, c.frame)
+		if len(audit.Affected) > 0 {
+			c.frameBuffer = m3ua.Append(c.frameBuffer[:0], &audit)
+			c.port.Send(id, c.frameBuffer)
 		}
 	}
-	c.assocs[id] = a
+	c.assocs[id] = assoc
 	if p.Kind == OwnSwitch {
-		for _, f := range c.fars {
-			c.acts(f)
+		for _, far := range c.farExchanges {
+			c.runGroupActions(far)
 		}
 	}
 }
 
-// supersede ends every other association of a client: their calls are over before the new one brings any.
-func (c *Core) supersede(now time.Duration, asp uint32) {
+// closeEarlierAssocs closes a client's other associations, so that their calls end before the new one brings any.
+func (c *Core) closeEarlierAssocs(now time.Duration, asp uint32) {
 	var old []AssocID
-	for id, a := range c.assocs {
-		if a.peer.Kind == Client && a.peer.ASP == asp {
+	for id, assoc := range c.assocs {
+		if assoc.peer.Kind == Client && assoc.peer.ASP == asp {
 			old = append(old, id)
 		}
 	}
 	slices.Sort(old)
 	for _, id := range old {
-		c.port.Close(id, "the client has come again")
+		c.port.Close(id, "replaced by a newer association of the same client")
 		c.AssocDown(now, id)
 	}
 }
 
-// moved notes that an exchange's switch was reached under another address: another machine, cold until proven warm.
-func (c *Core) moved(f *far, address string) {
-	old := f.Address
-	if c.byAddr[old] == f {
-		delete(c.byAddr, old)
+// addressChanged records that an exchange's switch was reached under another address than that of the settings or of the
+// last contact. If the exchange had been reached before, or may have restarted, the switch is a different machine and is
+// treated as freshly started.
+func (c *Core) addressChanged(far *farExchange, address string) {
+	old := far.Address
+	if c.byAddress[old] == far {
+		delete(c.byAddress, old)
 	}
-	f.Address = address
-	c.byAddr[address] = f
-	if f.seen || f.doubt {
-		f.launched, f.doubt = c.now, false
+	far.Address = address
+	c.byAddress[address] = far
+	if far.reached || far.mayHaveRestarted {
+		far.launched, far.mayHaveRestarted = c.now, false
 	}
-	if f.health == policy.Ready {
-		c.listed(f.entry())
+	if far.health == policy.Ready {
+		c.listChanged(far.entry())
 	}
 }
 
-// Unreachable notes that an exchange's switch took no connection.
+// Unreachable records that an exchange's switch did not accept a connection, so that it may have restarted.
 func (c *Core) Unreachable(now time.Duration, pc uint32) {
 	c.now = now
-	if f := c.byPC[pc]; f != nil {
-		f.doubt = true
+	if far := c.byPC[pc]; far != nil {
+		far.mayHaveRestarted = true
 	}
 }
 
-// AssocDown takes the loss of an association, with all that was on it.
+// AssocDown handles the loss of an association and of the calls on it.
 func (c *Core) AssocDown(now time.Duration, id AssocID) {
 	c.now = now
-	a := c.assocs[id]
-	if a == nil {
+	assoc := c.assocs[id]
+	if assoc == nil {
 		return
 	}
 	delete(c.assocs, id)
-	switch a.peer.Kind {
-	case Client: // its callers are gone with it
-		if a.server != nil {
-			c.serverDown(a)
+	switch assoc.peer.Kind {
+	case Client: // its callers are lost with it
+		if assoc.appServer != nil {
+			c.serverAssocDown(assoc)
 			return
 		}
-		defer c.door.RemoveClient(a.door)
-		for _, l := range a.legs {
-			if l.call != nil {
-				k := l.call
-				k.leg = nil
-				c.callerLeft(k, isup.CauseTemporary)
+		defer c.limits.RemoveClient(assoc.limits)
+		for _, circuit := range assoc.circuits {
+			if circuit.openCall != nil {
+				call := circuit.openCall
+				call.clientCircuit = nil
+				c.callerReleased(call, isup.CauseTemporary)
 			}
-			c.wheel.Stop(l.timer)
+			c.wheel.Stop(circuit.timer)
 		}
 	case FarSwitch:
-		if f := a.far; f.assoc == a {
-			f.assoc, f.doubt = nil, true
-			clear(f.asked)
-			if f.group != nil {
-				f.group.Down()
-				c.acts(f)
+		if far := assoc.farExchange; far.association == assoc {
+			far.association, far.mayHaveRestarted = nil, true
+			clear(far.releaseSentAt)
+			if far.group != nil {
+				far.group.Down()
+				c.runGroupActions(far)
 			}
 		}
 	case OwnSwitch:
-		if c.own == a {
-			c.own, c.ownHold = nil, 0
+		if c.ownSwitch == assoc {
+			c.ownSwitch, c.ownReduction = nil, 0
 		}
 	}
 }
 
-// acts carries out what a trunk group wants done.
-func (c *Core) acts(f *far) {
-	if f.group == nil {
+// runGroupActions carries out the actions that a trunk group has queued.
+func (c *Core) runGroupActions(far *farExchange) {
+	if far.group == nil {
 		return
 	}
-	for len(f.group.Actions) > 0 {
-		acts := f.group.Actions
-		f.group.Actions = nil
-		for i := range acts {
-			switch a := acts[i].(type) {
+	for len(far.group.Actions) > 0 {
+		actions := far.group.Actions
+		far.group.Actions = nil
+		for i := range actions {
+			switch action := actions[i].(type) {
 			case trunk.SendToFar:
-				c.toFar(f, &a.Msg)
+				c.sendToFar(far, &action.Msg)
 			case trunk.SendToOwn:
-				c.toOwn(f, &a.Msg)
+				c.sendToOwn(far, &action.Msg)
 			case trunk.StartTimer:
-				c.wheel.Set(c.now+a.After, alarm{kind: trunkTimer, far: f, wake: a.TimerID})
+				c.wheel.Set(c.now+action.After, timerEvent{kind: timerTrunk, farExchange: far, trunkTimer: action.TimerID})
 			case trunk.CircuitLost:
-				c.lost(f, a)
+				c.circuitLost(far, action)
 			}
 		}
 	}
-	c.touch(f)
+	c.markDirty(far)
 }
 
-// data frames an ISUP message.
-func (c *Core) data(dpc uint32, m *isup.Message) []byte {
-	c.user = isup.Append(c.user[:0], m)
-	c.frame = m3ua.Append(c.frame[:0], &m3ua.Message{Kind: m3ua.DATA, HasContext: true, Context: c.cfg.PointCode,
+// encodeData encodes an ISUP message in a DATA frame; the frame is valid until the next call.
+func (c *Core) encodeData(dpc uint32, message *isup.Message) []byte {
+	c.userBuffer = isup.Append(c.userBuffer[:0], message)
+	c.frameBuffer = m3ua.Append(c.frameBuffer[:0], &m3ua.Message{Kind: m3ua.DATA, HasContext: true, Context: c.cfg.PointCode,
 		Data: m3ua.ProtocolData{OPC: c.cfg.PointCode, DPC: dpc, SI: m3ua.ServiceISUP, NI: c.cfg.Network,
-			SLS: byte(m.CIC & 15), User: c.user}})
-	return c.frame
+			SLS: byte(message.CIC & 15), User: c.userBuffer}})
+	return c.frameBuffer
 }
 
-func (c *Core) toFar(f *far, m *isup.Message) bool {
-	return f.assoc != nil && c.send(f.assoc.id, c.data(f.PointCode, m))
+// sendToFar sends a message to an exchange's switch; false: it could not be queued.
+func (c *Core) sendToFar(far *farExchange, message *isup.Message) bool {
+	return far.association != nil && c.send(far.association.id, c.encodeData(far.PointCode, message))
 }
 
-// send queues a frame; an association whose queue is full is of no use to its calls.
+// send queues a frame and counts a full queue; what that means for the association is up to the caller.
 func (c *Core) send(id AssocID, frame []byte) bool {
 	if c.port.Send(id, frame) {
 		return true
@@ -811,292 +831,295 @@
 	return false
 }
 
-// toOwn sends a message about the group to f to the own switch.
-func (c *Core) toOwn(f *far, m *isup.Message) {
-	if c.own != nil && !c.send(c.own.id, c.data(f.PointCode, m)) {
-		c.port.Close(c.own.id, "its queue is full")
+// sendToOwn sends a message about the trunk group to an exchange to the own switch.
+func (c *Core) sendToOwn(far *farExchange, message *isup.Message) {
+	if c.ownSwitch != nil && !c.send(c.ownSwitch.id, c.encodeData(far.PointCode, message)) {
+		c.port.Close(c.ownSwitch.id, "send queue full")
 	}
 }
 
-func (c *Core) toClient(l *leg, m *isup.Message) {
-	m.CIC = l.cic
-	if l.assoc.server != nil {
-		c.toServer(l, c.data(l.opc, m))
+// sendToClient sends a message on a client's circuit.
+func (c *Core) sendToClient(circuit *clientCircuit, message *isup.Message) {
+	message.CIC = circuit.cic
+	if circuit.association.appServer != nil {
+		c.sendToServer(circuit, c.encodeData(circuit.opc, message))
 		return
 	}
-	if !c.send(l.assoc.id, c.data(l.opc, m)) {
-		c.port.Close(l.assoc.id, "its queue is full")
+	if !c.send(circuit.association.id, c.encodeData(circuit.opc, message)) {
+		c.port.Close(circuit.association.id, "send queue full")
 	}
 }
 
-// Handle takes one message of an association that is up: DATA, SSNM or NTFY.
-func (c *Core) Handle(now time.Duration, id AssocID, m *m3ua.Message) {
+// Handle handles one message of an association that is up: DATA, SSNM or NTFY.
+func (c *Core) Handle(now time.Duration, id AssocID, message *m3ua.Message) {
 	c.now = now
-	a := c.assocs[id]
-	if a == nil {
+	assoc := c.assocs[id]
+	if assoc == nil {
 		return
 	}
-	switch m.Kind {
+	switch message.Kind {
 	case m3ua.DATA:
-		if m.Data.SI != m3ua.ServiceISUP {
+		if message.Data.SI != m3ua.ServiceISUP {
 			c.Counters.Unexpected++
 			return
 		}
-		if err := isup.Decode(m.Data.User, &c.msg); err != nil {
-			c.malformed(a, m, err)
+		if err := isup.Decode(message.Data.User, &c.decoded); err != nil {
+			c.handleMalformed(assoc, message, err)
 			return
 		}
-		switch a.peer.Kind {
+		switch assoc.peer.Kind {
 		case Client:
-			if a.server != nil && !a.server.as.Active(uint32(a.id)) { // RFC 4666, 4.3.4.3: another has its traffic
+			if assoc.appServer != nil && !assoc.appServer.as.Active(uint32(assoc.id)) { // RFC 4666, 4.3.4.3: another association has taken over the traffic
 				c.Counters.Unexpected++
 				return
 			}
-			c.fromClient(a, m.Data.OPC, &c.msg)
+			c.handleFromClient(assoc, message.Data.OPC, &c.decoded)
 		case FarSwitch:
-			if m.Data.OPC == a.far.PointCode && a.far.group != nil {
-				c.fromFar(a.far, &c.msg)
+			if message.Data.OPC == assoc.farExchange.PointCode && assoc.farExchange.group != nil {
+				c.handleFromFar(assoc.farExchange, &c.decoded)
 			} else {
 				c.Counters.Unexpected++
 			}
 		case OwnSwitch:
-			if f := c.byPC[m.Data.OPC]; f != nil && f.group != nil {
-				c.fromOwn(f, &c.msg)
+			if far := c.byPC[message.Data.OPC]; far != nil && far.group != nil {
+				c.handleFromOwn(far, &c.decoded)
 			} else {
 				c.Counters.Unexpected++
 			}
 		}
 	case m3ua.DUNA, m3ua.DAVA, m3ua.DRST, m3ua.SCON:
-		if a.peer.Kind != Client {
-			c.destinations(a, m)
+		if assoc.peer.Kind != Client {
+			c.handleSSNM(assoc, message)
 		}
 	}
 }
 
-// malformed answers an IAM that cannot be read, so that its circuit does not stay taken; all else is dropped.
-func (c *Core) malformed(a *assoc, m *m3ua.Message, err error) {
+// handleMalformed releases the circuit of a client's malformed IAM, so that it does not stay seized; other malformed
+// messages are dropped.
+func (c *Core) handleMalformed(assoc *association, message *m3ua.Message, err error) {
 	c.Counters.Malformed++
-	var e *isup.Error
-	if a.peer.Kind == Client && errors.As(err, &e) && e.Type == isup.IAM {
-		l := &leg{assoc: a, opc: m.Data.OPC, cic: c.msg.CIC}
-		if a.legs[l.key()] == nil {
-			a.legs[l.key()] = l
-			c.clearLeg(l, isup.CauseProtocol, isup.LocationNetwork)
+	var decodeError *isup.Error
+	if assoc.peer.Kind == Client && errors.As(err, &decodeError) && decodeError.Type == isup.IAM {
+		circuit := &clientCircuit{association: assoc, opc: message.Data.OPC, cic: c.decoded.CIC}
+		if assoc.circuits[circuit.key()] == nil {
+			assoc.circuits[circuit.key()] = circuit
+			c.releaseClientCircuit(circuit, isup.CauseProtocol, isup.LocationNetwork)
 		}
 	}
 }
 
-// destinations takes word of the state of exchanges: the list, and congestion.
-func (c *Core) destinations(a *assoc, m *m3ua.Message) {
+// handleSSNM handles notifications of the availability and congestion of exchanges.
+func (c *Core) handleSSNM(assoc *association, message *m3ua.Message) {
 	var entries []policy.Entry
-	for _, p := range m.Affected {
-		if m.Kind == m3ua.SCON && a.peer.Kind == OwnSwitch && p.PC == c.cfg.PointCode { // its own: it is in every call's path
-			c.ownHold = float64(m.Congestion) / 3
+	for _, affected := range message.Affected {
+		if message.Kind == m3ua.SCON && assoc.peer.Kind == OwnSwitch && affected.PC == c.cfg.PointCode { // congestion of the own switch, which is on the path of every call
+			c.ownReduction = float64(message.Congestion) / 3
 		}
-		for _, f := range c.fars {
-			if p.Mask > 24 || f.PointCode>>p.Mask != p.PC>>p.Mask {
+		for _, far := range c.farExchanges {
+			if affected.Mask > 24 || far.PointCode>>affected.Mask != affected.PC>>affected.Mask {
 				continue
 			}
-			if a.far != nil && a.far != f { // a far switch speaks for itself alone
+			if assoc.farExchange != nil && assoc.farExchange != far { // a far switch may report only its own state
 				c.Counters.Unexpected++
 				continue
 			}
-			if m.Kind == m3ua.SCON {
-				r := f.report()
-				r.Reduction = float64(m.Congestion) / 3
-				c.tell(policy.Status{Exchange: f.Address, OK: true, Report: r})
+			if message.Kind == m3ua.SCON {
+				report := far.groupReport()
+				report.Reduction = float64(message.Congestion) / 3
+				c.dispatch(policy.Status{Exchange: far.Address, OK: true, Report: report})
 				continue
 			}
 			health := policy.Ready
-			switch m.Kind {
+			switch message.Kind {
 			case m3ua.DUNA:
 				health = policy.Gone
 			case m3ua.DRST:
 				health = policy.Draining
 			}
-			if health == policy.Ready && f.health == policy.Gone && f.assoc == nil {
-				f.doubt = true // whether it has started anew shows when it is reached
+			if health == policy.Ready && far.health == policy.Gone && far.association == nil {
+				far.mayHaveRestarted = true // whether it has restarted is found out when it is reached
 			}
-			if health != f.health {
-				f.health = health
-				entries = append(entries, f.entry())
+			if health != far.health {
+				far.health = health
+				entries = append(entries, far.entry())
 			}
 		}
 	}
-	c.listed(entries...)
+	c.listChanged(entries...)
 }
 
-// returned tells the module that the attempt out has ended. The circuit has been dealt with.
-func (c *Core) returned(k *call, cause policy.Cause, reason policy.Reason, final bool) {
-	f := k.to
-	c.wheel.Stop(k.timeOut)
-	k.to = nil
-	c.silence(k)
+// endAttempt notifies the policy engine that the outstanding attempt has ended. The caller has already dealt with the
+// circuit.
+func (c *Core) endAttempt(call *openCall, cause policy.Cause, reason policy.Reason, final bool) {
+	far := call.outExchange
+	c.wheel.Stop(call.attemptTimer)
+	call.outExchange = nil
+	c.stopRinging(call)
 	if cause != policy.Failed && cause != policy.NotSetUp {
-		k.cause, k.loc = told(cause, reason), isup.LocationNetwork
+		call.cause, call.location = callerCause(cause, reason), isup.LocationNetwork
 	}
-	if k.from != nil && cause == policy.NotSent || cause == policy.NoContact {
-		k.loc = isup.LocationTransit
+	if call.inExchange != nil && cause == policy.NotSent || cause == policy.NoContact {
+		call.location = isup.LocationTransit
 	}
-	c.tell(policy.AttemptEnded{Call: k.id, Attempt: k.attempts - 1, Exchange: f.Address, Final: final, Delay: c.now - k.sentAt,
+	c.dispatch(policy.AttemptEnded{Call: call.id, Attempt: call.attempts - 1, Exchange: far.Address, Final: final, Delay: c.now - call.sentAt,
 		Cause: cause, Reason: reason})
 }
 
-// abandon releases the circuit of the attempt out or the standing call.
-func (c *Core) abandon(k *call, cause isup.Cause) {
-	loc := isup.LocationNetwork
-	if k.from != nil {
-		loc = isup.LocationTransit
+// releaseOutgoing releases the circuit of the outstanding attempt or the established call.
+func (c *Core) releaseOutgoing(call *openCall, cause isup.Cause) {
+	location := isup.LocationNetwork
+	if call.inExchange != nil {
+		location = isup.LocationTransit
 	}
-	if k.to.PointCode == k.dest {
-		k.to.asked[k.toCIC] = c.now
+	if call.outExchange.PointCode == call.destination {
+		call.outExchange.releaseSentAt[call.outCIC] = c.now
 	}
-	k.to.group.Release(k.toCIC, cause, loc)
-	c.acts(k.to)
+	call.outExchange.group.Release(call.outCIC, cause, location)
+	c.runGroupActions(call.outExchange)
 }
 
-// released takes RLC: the time since REL is the switch's own work.
-func (f *far) released(cic uint16, now, limit time.Duration) {
-	if int(cic) >= len(f.asked) || f.asked[cic] == 0 {
+// recordReleaseDelay handles RLC: the time since REL measures the load of the switch's processor.
+func (far *farExchange) recordReleaseDelay(cic uint16, now, limit time.Duration) {
+	if int(cic) >= len(far.releaseSentAt) || far.releaseSentAt[cic] == 0 {
 		return
 	}
-	if took := now - f.asked[cic]; took < limit { // else REL was repeated, or the circuit reset
-		f.wait += (took - f.wait) / 8
-		f.heard = true
+	if took := now - far.releaseSentAt[cic]; took < limit { // otherwise REL was retransmitted or the circuit reset
+		far.releaseDelay += (took - far.releaseDelay) / 8
+		far.releaseDelayChanged = true
 	}
-	f.asked[cic] = 0
+	far.releaseSentAt[cic] = 0
 }
 
-// silence notes that a call rings no more.
-func (c *Core) silence(k *call) {
-	if k.rings {
-		k.rings = false
+// stopRinging records that a call no longer rings.
+func (c *Core) stopRinging(call *openCall) {
+	if call.alerting {
+		call.alerting = false
 		c.ringing--
 	}
 }
 
-// alerting takes the word that the processor's part of an attempt is over. From now on it is bounded by T9 and by how long
-// the caller lets it ring, counted from when that was first told so.
-func (c *Core) alerting(k *call) {
-	if k.rings {
+// startRinging handles the first ACM or CPG of an attempt: the far processor's part is done. From now on the attempt is
+// bounded by T9 and by the time that the caller lets it ring, which counts from the first ringing reported to the caller.
+func (c *Core) startRinging(call *openCall) {
+	if call.alerting {
 		return
 	}
-	k.rings = true
+	call.alerting = true
 	c.ringing++
 	c.Counters.Alerted++
-	if k.rangAt == 0 {
-		k.rangAt = c.now
+	if call.ringingSince == 0 {
+		call.ringingSince = c.now
 	}
-	c.wheel.Stop(k.timeOut)
-	end := min(c.now+c.cfg.T9, k.rangAt+c.cfg.Classes[k.class].Ring-c.cfg.AnswerMargin)
-	k.timeOut = c.wheel.Set(max(c.now, end), alarm{kind: attemptTimer, id: k.id})
-	c.tell(policy.Alerting{Call: k.id, Attempt: k.attempts - 1, Exchange: k.to.Address, Delay: c.now - k.sentAt})
+	c.wheel.Stop(call.attemptTimer)
+	deadline := min(c.now+c.cfg.T9, call.ringingSince+c.cfg.Classes[call.class].Ring-c.cfg.AnswerMargin)
+	call.attemptTimer = c.wheel.Set(max(c.now, deadline), timerEvent{kind: timerAttempt, id: call.id})
+	c.dispatch(policy.Alerting{Call: call.id, Attempt: call.attempts - 1, Exchange: call.outExchange.Address, Delay: c.now - call.sentAt})
 }
 
-// setUp carries out an attempt. It is the only place that sends an IAM, and never for a call that is over or has an
-// attempt out, whatever is asked of it.
-func (c *Core) setUp(a policy.SetUp) {
-	k, f := c.calls[a.Call], c.byAddr[a.Exchange]
-	if k == nil || k.phase != offered || k.to != nil || f == nil {
+// setUp makes an attempt. It is the only place that sends an IAM, and it never does so for a call that has ended, is
+// established or has an outstanding attempt, whatever the policy engine requests.
+func (c *Core) setUp(action policy.SetUp) {
+	call, far := c.calls[action.Call], c.byAddress[action.Exchange]
+	if call == nil || call.phase != phaseOffered || call.outExchange != nil || far == nil {
 		c.Counters.NotSent++
-		c.tell(policy.AttemptEnded{Call: a.Call, Exchange: a.Exchange, Final: k == nil || k.phase != offered, Cause: policy.NotSent})
+		c.dispatch(policy.AttemptEnded{Call: action.Call, Exchange: action.Exchange, Final: call == nil || call.phase != phaseOffered, Cause: policy.NotSent})
 		return
 	}
-	k.attempts++
-	k.to, k.sentAt, k.via = f, c.now, f.PointCode
+	call.attempts++
+	call.outExchange, call.sentAt, call.via = far, c.now, far.PointCode
 	c.Counters.Attempts++
-	not := func(cause policy.Cause, reason policy.Reason) {
+	endUnsent := func(cause policy.Cause, reason policy.Reason) {
 		if cause == policy.NoContact {
 			c.Counters.NoContact++
 		} else {
 			c.Counters.NotSent++
 		}
-		c.touch(f)
-		c.returned(k, cause, reason, false)
+		c.markDirty(far)
+		c.endAttempt(call, cause, reason, false)
 	}
-	if c.own == nil {
-		// Without the own switch the seizures of the other ends are not seen, and no circuit can be told free.
-		not(policy.NotSent, policy.ProcessorFull)
+	if c.ownSwitch == nil {
+		// Seizures by the far ends are reported by the own switch: without it no circuit is known to be free.
+		endUnsent(policy.NotSent, policy.ProcessorFull)
 		return
 	}
-	if f.assoc == nil {
-		not(policy.NoContact, policy.NoReason)
+	if far.association == nil {
+		endUnsent(policy.NoContact, policy.NoReason)
 		return
 	}
-	if f.group == nil {
-		not(policy.NotSent, policy.NoCircuit)
+	if far.group == nil {
+		endUnsent(policy.NotSent, policy.NoCircuit)
 		return
 	}
-	cic, ok := f.group.Seize(k.id)
+	cic, ok := far.group.Seize(call.id)
 	if !ok {
-		not(policy.NotSent, policy.NoCircuit)
+		endUnsent(policy.NotSent, policy.NoCircuit)
 		return
 	}
-	m := k.iam
-	m.CIC = cic
-	m.HasHops, m.Hops = true, k.iam.Hops-1
-	m.HasDelay, m.Delay = true, uint16(min(k.delay+c.now-k.arrived, math.MaxUint16*time.Millisecond)/time.Millisecond)
-	if !c.toFar(f, &m) {
-		f.group.Unseize(cic)
-		not(policy.NotSent, policy.NoReason)
+	outgoing := call.iam
+	outgoing.CIC = cic
+	outgoing.HasHops, outgoing.Hops = true, call.iam.Hops-1
+	outgoing.HasDelay, outgoing.Delay = true, uint16(min(call.earlierDelay+c.now-call.arrivedAt, math.MaxUint16*time.Millisecond)/time.Millisecond)
+	if !c.sendToFar(far, &outgoing) {
+		far.group.Unseize(cic)
+		endUnsent(policy.NotSent, policy.NoReason)
 		return
 	}
-	c.touch(f)
-	k.toCIC = cic
-	k.timeOut = c.wheel.Set(c.now+min(a.TimeOut, c.cfg.T7), alarm{kind: attemptTimer, id: k.id})
+	c.markDirty(far)
+	call.outCIC = cic
+	call.attemptTimer = c.wheel.Set(c.now+min(action.TimeOut, c.cfg.T7), timerEvent{kind: timerAttempt, id: call.id})
 }
 
-// final gives a call its final answer that it does not stand.
-func (c *Core) final(id uint64, o Outcome) {
-	k := c.calls[id]
-	if k == nil || k.phase != offered {
+// reject releases a call that is not established: its final answer.
+func (c *Core) reject(id uint64, outcome Outcome) {
+	call := c.calls[id]
+	if call == nil || call.phase != phaseOffered {
 		return
 	}
-	cause, loc := k.cause, k.loc
+	cause, location := call.cause, call.location
 	if cause == 0 {
-		cause, loc = isup.CauseCongestion, isup.LocationNetwork
-		if k.from != nil { // turned back without an attempt: no circuit onwards
-			cause, loc = isup.CauseNoCircuit, isup.LocationTransit
+		cause, location = isup.CauseCongestion, isup.LocationNetwork
+		if call.inExchange != nil { // crankback without an attempt: no circuit to go on
+			cause, location = isup.CauseNoCircuit, isup.LocationTransit
 		}
 	}
-	if k.to != nil && k.asking != askEnd { // it can only be so if the module has forgotten its attempt
-		c.abandon(k, isup.CauseTimer)
-		c.wheel.Stop(k.timeOut)
+	if call.outExchange != nil && call.hookWait != hookWaitAttemptEnd { // only possible if the policy engine has lost track of the attempt
+		c.releaseOutgoing(call, isup.CauseTimer)
+		c.wheel.Stop(call.attemptTimer)
 	}
-	c.answerNo(k, cause, loc)
-	c.close(k, o, cause)
+	c.releaseTowardsCaller(call, cause, location)
+	c.closeCall(call, outcome, cause)
 }
 
-// answerNo sends REL back to where a call came from.
-func (c *Core) answerNo(k *call, cause isup.Cause, loc isup.Location) {
+// releaseTowardsCaller sends REL on the circuit that a call came in on.
+func (c *Core) releaseTowardsCaller(call *openCall, cause isup.Cause, location isup.Location) {
 	switch {
-	case k.from != nil:
-		c.toOwn(k.from, &isup.Message{Type: isup.REL, CIC: k.fromCIC, Cause: cause, Location: loc})
-	case k.leg != nil:
-		l := k.leg
-		k.leg, l.call = nil, nil
-		c.clearLeg(l, cause, loc)
+	case call.inExchange != nil:
+		c.sendToOwn(call.inExchange, &isup.Message{Type: isup.REL, CIC: call.inCIC, Cause: cause, Location: location})
+	case call.clientCircuit != nil:
+		circuit := call.clientCircuit
+		call.clientCircuit, circuit.openCall = nil, nil
+		c.releaseClientCircuit(circuit, cause, location)
 	}
 }
 
-// close takes a call from the table.
-func (c *Core) close(k *call, o Outcome, cause isup.Cause) {
-	if k.phase == offered {
+// closeCall removes a call from the table, counts its outcome and keeps the memory for reuse.
+func (c *Core) closeCall(call *openCall, outcome Outcome, cause isup.Cause) {
+	if call.phase == phaseOffered {
 		c.waiting--
 	}
-	c.silence(k)
-	k.phase = over
-	delete(c.calls, k.id)
-	if k.door != nil {
-		c.door.Done(k.door)
-		if k.account < len(c.accounts) {
-			c.tenants.Done(c.accounts[k.account])
+	c.stopRinging(call)
+	call.phase = phaseEnded
+	delete(c.calls, call.id)
+	if call.limits != nil {
+		c.limits.Done(call.limits)
+		if call.admissionTenant < len(c.tenantClients) {
+			c.tenantLimits.Done(c.tenantClients[call.admissionTenant])
 		}
 	}
-	if k.asking != askNone {
-		c.wheel.Stop(k.askTime)
+	if call.hookWait != hookWaitNone {
+		c.wheel.Stop(call.hookTimer)
 	}
-	switch o {
+	switch outcome {
 	case Refused:
 		c.Counters.Refused++
 	case Failed:
@@ -1107,84 +1130,86 @@
 		c.Counters.Finished++
 	case Cut:
 		c.Counters.Cut++
-		c.rememberCut(k)
+		c.rememberCut(call)
 	}
-	c.note(k, o, cause)
-	if len(c.spareCall) < 1024 {
-		opt := k.iam.Optional[:0]
-		*k = call{phase: over}
-		k.iam.Optional = opt
-		c.spareCall = append(c.spareCall, k)
+	c.recordCall(call, outcome, cause)
+	if len(c.freeCalls) < 1024 {
+		opt := call.iam.Optional[:0]
+		*call = openCall{phase: phaseEnded}
+		call.iam.Optional = opt
+		c.freeCalls = append(c.freeCalls, call)
 	}
 }
 
-func (c *Core) note(k *call, o Outcome, cause isup.Cause) {
-	e := CallRecord{Outcome: o, Call: k.id, Class: k.class, Tenant: k.tenant, Transit: k.from != nil, Called: k.iam.Called,
-		To: k.dest, Via: k.via, Attempts: k.attempts, Cause: cause, After: c.now - k.arrived,
-		Calling: k.iam.Calling, Category: k.iam.Category, Set: k.set, Tags: k.tags}
-	if o == Answered {
-		e.SetUp = e.After
-		if k.rangAt > 0 {
-			e.SetUp = k.rangAt - k.arrived
+// recordCall reports a call that has been answered or has ended.
+func (c *Core) recordCall(call *openCall, outcome Outcome, cause isup.Cause) {
+	record := CallRecord{Outcome: outcome, Call: call.id, Class: call.class, Tenant: call.tenant, Transit: call.inExchange != nil, Called: call.iam.Called,
+		To: call.destination, Via: call.via, Attempts: call.attempts, Cause: cause, After: c.now - call.arrivedAt,
+		Calling: call.iam.Calling, Category: call.iam.Category, Set: call.hookSet, Tags: call.tags}
+	if outcome == Answered {
+		record.SetUp = record.After
+		if call.ringingSince > 0 {
+			record.SetUp = call.ringingSince - call.arrivedAt
 		}
 	}
-	c.port.CallEnded(e)
+	c.port.CallEnded(record)
 }
 
-// maxCuts bounds the memory of cut calls; the oldest goes first.
-const maxCuts = 1 << 16
+// maxCutCalls bounds the number of remembered cut calls; the oldest is dropped first.
+const maxCutCalls = 1 << 16
 
-func (c *Core) rememberCut(k *call) {
-	if k.from != nil || !k.iam.HasCalling || c.cfg.CutMemory <= 0 {
+// rememberCut remembers a cut call for Config.CutMemory, if it came from a client with a calling number.
+func (c *Core) rememberCut(call *openCall) {
+	if call.inExchange != nil || !call.iam.HasCalling || c.cfg.CutMemory <= 0 {
 		return
 	}
-	p := pair{k.iam.Calling, k.iam.Called}
-	c.cuts[p] = c.now
-	c.cutOrder = append(c.cutOrder, cutCall{p, c.now})
-	for len(c.cutOrder) > 0 && (len(c.cutOrder) > maxCuts || c.cutOrder[0].at < c.now-c.cfg.CutMemory) {
-		if o := c.cutOrder[0]; c.cuts[o.pair] == o.at {
-			delete(c.cuts, o.pair)
+	pair := numberPair{call.iam.Calling, call.iam.Called}
+	c.cutCalls[pair] = c.now
+	c.cutCallOrder = append(c.cutCallOrder, cutCall{pair, c.now})
+	for len(c.cutCallOrder) > 0 && (len(c.cutCallOrder) > maxCutCalls || c.cutCallOrder[0].at < c.now-c.cfg.CutMemory) {
+		if oldest := c.cutCallOrder[0]; c.cutCalls[oldest.numberPair] == oldest.at {
+			delete(c.cutCalls, oldest.numberPair)
 		}
-		c.cutOrder = c.cutOrder[1:]
+		c.cutCallOrder = c.cutCallOrder[1:]
 	}
 }
 
-// wasCut tells whether a call stood, was cut and comes again; it is asked once.
-func (c *Core) wasCut(m *isup.Message) bool {
-	if !m.HasCalling || len(c.cuts) == 0 {
+// takeCutCall tells whether a set-up repeats an established call that was cut, and forgets the cut call.
+func (c *Core) takeCutCall(iamMessage *isup.Message) bool {
+	if !iamMessage.HasCalling || len(c.cutCalls) == 0 {
 		return false
 	}
-	p := pair{m.Calling, m.Called}
-	at, ok := c.cuts[p]
-	delete(c.cuts, p)
-	return ok && c.now <= at+c.cfg.CutMemory
+	pair := numberPair{iamMessage.Calling, iamMessage.Called}
+	cutAt, ok := c.cutCalls[pair]
+	delete(c.cutCalls, pair)
+	return ok && c.now <= cutAt+c.cfg.CutMemory
 }
 
-// Drain refuses all new calls from now on.
+// Drain makes the controller refuse all new calls.
 func (c *Core) Drain() { c.draining = true }
 
-// Waiting is the number of calls that are owed a final answer, Open that of all calls.
+// Waiting returns the number of calls that have no final answer yet.
 func (c *Core) Waiting() int { return c.waiting }
 
-// Ringing is the number of calls whose number rings.
+// Ringing returns the number of calls that ring.
 func (c *Core) Ringing() int { return c.ringing }
 
-// Open is the number of calls in the table.
+// Open returns the number of calls in the table.
 func (c *Core) Open() int { return len(c.calls) }
 
-// ReleaseAll ends every standing call, before the daemon ends.
+// ReleaseAll releases every established call, before the daemon exits.
 func (c *Core) ReleaseAll(now time.Duration) {
 	c.now = now
 	ids := make([]uint64, 0, len(c.calls))
-	for id, k := range c.calls {
-		if k.phase == standing {
+	for id, call := range c.calls {
+		if call.phase == phaseEstablished {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		k := c.calls[id]
-		c.answerNo(k, isup.CauseTemporary, isup.LocationNetwork)
-		c.endStanding(k, Cut, isup.CauseTemporary, policy.Reset)
+		call := c.calls[id]
+		c.releaseTowardsCaller(call, isup.CauseTemporary, isup.LocationNetwork)
+		c.releaseEstablished(call, Cut, isup.CauseTemporary, policy.Reset)
 	}
 }
--- a/controller/hooks.go
+++ b/controller/hooks.go
@@ -10,107 +10,107 @@
 	"github.com/umbergauge/umbergauge/script"
 )
 
-// A call waits for its hooks at two places: before the module is told of it, and before the module is told that a REL has
-// ended an attempt. It waits no longer than the deadline, and then goes on as if there were no hooks, or is refused where
-// they say so. What they ask for cannot touch the rules: nothing is out for the call while it waits, the module has every
-// word after them, and the guard, the grace and the cold budget are its own.
+// A call waits for its hooks at two places: before it is offered to the policy engine, and before the engine is notified
+// that a REL has ended an attempt. At the deadline it proceeds as if there were no hooks, or is refused if the hook set
+// says so. Hooks cannot break the rules: no attempt is outstanding while the call waits, and the policy engine alone then
+// decides on attempts, the guard time, the drain grace and the cold budget.
 
-// view is what hooks see of a call.
-func (c *Core) view(k *call) script.Call {
-	v := script.Call{Called: k.iam.Called.String(), Calling: k.iam.Calling.String(), Class: c.cfg.Classes[k.class].Name,
-		Category: int(k.iam.Category), Transit: k.from != nil, To: int(k.dest), Attempts: k.attempts, Age: c.now - k.arrived}
-	if k.tenant < len(c.cfg.Tenants) {
-		v.Tenant = c.cfg.Tenants[k.tenant]
+// scriptCall returns what hooks see of a call.
+func (c *Core) scriptCall(call *openCall) script.Call {
+	view := script.Call{Called: call.iam.Called.String(), Calling: call.iam.Calling.String(), Class: c.cfg.Classes[call.class].Name,
+		Category: int(call.iam.Category), Transit: call.inExchange != nil, To: int(call.destination), Attempts: call.attempts, Age: c.now - call.arrivedAt}
+	if call.tenant < len(c.cfg.Tenants) {
+		view.Tenant = c.cfg.Tenants[call.tenant]
 	}
-	return v
+	return view
 }
 
-// ask puts a question to the hooks of a call's set.
-func (c *Core) ask(k *call, what asking, kind string, ev script.Event) {
-	k.asking = what
-	k.askSeq++
+// askHooks submits an event to the hooks of a call's set and starts the deadline.
+func (c *Core) askHooks(call *openCall, wait hookWait, kind string, event script.Event) {
+	call.hookWait = wait
+	call.hookSeq++
 	c.Counters.HookAsked++
-	if !c.cfg.Hooks.Submit(HookRequest{Call: k.id, Seq: k.askSeq, Set: k.set, Kind: kind, Event: ev}) {
+	if !c.cfg.Hooks.Submit(HookRequest{Call: call.id, Seq: call.hookSeq, Set: call.hookSet, Kind: kind, Event: event}) {
 		c.Counters.HookBusy++
-		c.unadvised(k)
+		c.proceedWithoutHooks(call)
 		return
 	}
-	k.askTime = c.wheel.Set(c.now+c.cfg.HookDeadline, alarm{kind: hookTimer, id: k.id, seq: k.askSeq})
+	call.hookTimer = c.wheel.Set(c.now+c.cfg.HookDeadline, timerEvent{kind: timerHooks, id: call.id, seq: call.hookSeq})
 }
 
-// hooksLate is called when a question's time is over.
-func (c *Core) hooksLate(id uint64, seq uint32) {
-	if k := c.calls[id]; k != nil && k.asking != askNone && k.askSeq == seq {
+// hooksTimedOut handles the deadline of a hook request.
+func (c *Core) hooksTimedOut(id uint64, seq uint32) {
+	if call := c.calls[id]; call != nil && call.hookWait != hookWaitNone && call.hookSeq == seq {
 		c.Counters.HookLate++
-		c.unadvised(k)
+		c.proceedWithoutHooks(call)
 	}
 }
 
-// unadvised goes on with a call whose hooks have not answered.
-func (c *Core) unadvised(k *call) {
+// proceedWithoutHooks goes on with a call whose hooks were too busy or did not answer in time.
+func (c *Core) proceedWithoutHooks(call *openCall) {
 	kind := script.Arrival
-	if k.asking == askEnd {
+	if call.hookWait == hookWaitAttemptEnd {
 		kind = script.AttemptEnd
 	}
-	k.set.CountTimeout(kind)
-	a := hooks.Advice{}
-	if k.set.RefusesOnTimeout(kind) {
-		a.Refuse = int(isup.CauseCongestion)
+	call.hookSet.CountTimeout(kind)
+	advice := hooks.Advice{}
+	if call.hookSet.RefusesOnTimeout(kind) {
+		advice.Refuse = int(isup.CauseCongestion)
 	}
-	c.advised(k, &a)
+	c.applyAdvice(call, &advice)
 }
 
-// Advise brings the hooks' answer to a question. One that comes too late is dropped.
-func (c *Core) Advise(now time.Duration, id uint64, seq uint32, a *hooks.Advice) {
+// Advise passes the hooks' result for a request. A result after the deadline is dropped.
+func (c *Core) Advise(now time.Duration, id uint64, seq uint32, advice *hooks.Advice) {
 	c.now = now
-	k := c.calls[id]
-	if k == nil || k.asking == askNone || k.askSeq != seq {
+	call := c.calls[id]
+	if call == nil || call.hookWait == hookWaitNone || call.hookSeq != seq {
 		return
 	}
-	c.wheel.Stop(k.askTime)
-	c.advised(k, a)
+	c.wheel.Stop(call.hookTimer)
+	c.applyAdvice(call, advice)
 }
 
-// advised goes on with a call as its hooks, or nobody, have said.
-func (c *Core) advised(k *call, a *hooks.Advice) {
-	what := k.asking
-	k.asking = askNone
-	k.tags = append(k.tags, a.Tags...)
-	if what == askEnd {
-		cause := k.cause
-		if a.TreatAs != 0 && script.Treatable(int64(a.TreatAs)) {
-			cause = isup.Cause(a.TreatAs)
+// applyAdvice goes on with a call as advised by its hooks, or with empty advice without them.
+func (c *Core) applyAdvice(call *openCall, advice *hooks.Advice) {
+	waitedFor := call.hookWait
+	call.hookWait = hookWaitNone
+	call.tags = append(call.tags, advice.Tags...)
+	if waitedFor == hookWaitAttemptEnd {
+		cause := call.cause
+		if advice.TreatAs != 0 && script.Treatable(int64(advice.TreatAs)) {
+			cause = isup.Cause(advice.TreatAs)
 		}
-		c.attemptEnded(k, cause)
+		c.attemptReleased(call, cause)
 		return
 	}
-	if a.Refuse > 0 && a.Refuse < 128 {
+	if advice.Refuse > 0 && advice.Refuse < 128 {
 		c.Counters.HookRefused++
-		c.refuse(k, isup.Cause(a.Refuse))
+		c.refuseBeforeOffer(call, isup.Cause(advice.Refuse))
 		return
 	}
-	if i := slices.IndexFunc(c.cfg.Classes, func(x Class) bool { return x.Name == a.Class }); i >= 0 {
-		k.class = i
+	if i := slices.IndexFunc(c.cfg.Classes, func(candidate Class) bool { return candidate.Name == advice.Class }); i >= 0 {
+		call.class = i
 	}
-	if i := slices.Index(c.cfg.Tenants, a.Tenant); i >= 0 && a.Tenant != "" {
-		k.tenant = i
+	if i := slices.Index(c.cfg.Tenants, advice.Tenant); i >= 0 && advice.Tenant != "" {
+		call.tenant = i
 	}
-	if a.Rewrite != "" {
-		if n, err := isup.ParseNumber(k.iam.Called.Nature, a.Rewrite); err == nil {
-			k.iam.Called = n
+	if advice.Rewrite != "" {
+		if number, err := isup.ParseNumber(call.iam.Called.Nature, advice.Rewrite); err == nil {
+			call.iam.Called = number
 		}
 	}
-	dest, cause := c.destination(k.iam.Called)
+	destination, cause := c.lookUpDestination(call.iam.Called)
 	if cause != 0 {
-		c.refuse(k, cause)
+		c.refuseBeforeOffer(call, cause)
 		return
 	}
-	k.dest = dest
-	c.enter(k, policy.Offered{AdvisedTandem: -1, Excluded: a.Exclude})
+	call.destination = destination
+	c.offerToEngine(call, policy.Offered{AdvisedTandem: -1, Excluded: advice.Exclude})
 }
 
-// refuse is the final answer of a call that the module has not been told of.
-func (c *Core) refuse(k *call, cause isup.Cause) {
-	c.answerNo(k, cause, isup.LocationNetwork)
-	c.close(k, Refused, cause)
+// refuseBeforeOffer refuses a call that has not been offered to the policy engine.
+func (c *Core) refuseBeforeOffer(call *openCall, cause isup.Cause) {
+	c.releaseTowardsCaller(call, cause, isup.LocationNetwork)
+	c.closeCall(call, Refused, cause)
 }
--- /dev/null
+++ b/controller/ringing_test.go
@@ -0,0 +1,248 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"github.com/umbergauge/umbergauge/isup"
+	"github.com/umbergauge/umbergauge/m3ua"
+	"github.com/umbergauge/umbergauge/policy"
+)
+
+func newRingingRig(t *testing.T, change ...func(*Config)) *rig {
+	return newRig(t, 20, append([]func(*Config){func(c *Config) {
+		c.Classes[0].Ring, c.Classes[1].Ring, c.T9 = 30*sec, 30*sec, 20*sec
+	}}, change...)...)
+}
+
+// ring offers a call and lets it ring; it returns the circuit towards the far switch.
+func (r *rig) ring(cic uint16, called string) uint16 {
+	r.t.Helper()
+	r.offerCall(cic, called)
+	m := r.expectOne(far2, isup.IAM)
+	r.receive(far2, 2, isup.Message{Type: isup.ACM, CIC: m.CIC})
+	r.expectOne(clientAssoc, isup.ACM)
+	return m.CIC
+}
+
+func (r *rig) view(pc int) policy.View {
+	r.t.Helper()
+	for _, v := range r.c.Views() {
+		if v.PointCode == pc {
+			return v
+		}
+	}
+	r.t.Fatalf("no exchange %d", pc)
+	return policy.View{}
+}
+
+// A number rings far beyond aim and patience of the set-up, and is answered.
+func TestRingingCallIsAnsweredLongAfterSetUpTime(t *testing.T) {
+	r := newRingingRig(t)
+	cic := r.ring(1, "2001")
+	if v := r.view(2); v.SlotsHeld != 0 || v.Pending != 0 || r.c.Ringing() != 1 || r.c.Waiting() != 1 {
+		t.Errorf("%+v, %d ringing, %d waiting", v, r.c.Ringing(), r.c.Waiting())
+	}
+	r.advance(15 * sec)
+	r.expectNone(far2)
+	r.expectNone(clientAssoc)
+	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic})
+	r.expectOne(clientAssoc, isup.ANM)
+	r.advance(30 * sec) // the time for ringing must not end a call that stands
+	r.expectNone(clientAssoc)
+	if record := r.records[0]; record.Outcome != Answered || record.SetUp != 0 || record.After != 15*sec || r.c.Ringing() != 0 || r.c.Waiting() != 0 {
+		t.Errorf("%+v, %d ringing", record, r.c.Ringing())
+	}
+}
+
+// ACM and ANM come in one read, and the module is told of both in turn.
+func TestACMAndANMInOneRead(t *testing.T) {
+	r := newRingingRig(t)
+	r.offerCall(1, "2001")
+	cic := r.expectOne(far2, isup.IAM).CIC
+	for _, m := range []isup.Message{{Type: isup.ACM, CIC: cic}, {Type: isup.ANM, CIC: cic}} {
+		r.c.Handle(r.now, far2, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: 2, DPC: 1, SI: 5, User: isup.Append(nil, &m)}})
+	}
+	r.flush()
+	if m := r.take(clientAssoc); len(m) != 2 || m[0].Type != isup.ACM || m[1].Type != isup.ANM {
+		t.Fatalf("%v", describe(m))
+	}
+	if r.c.Ringing() != 0 || r.view(2).SlotsHeld != 0 || r.c.Counters.Alerted != 1 || r.c.Counters.Established != 1 {
+		t.Errorf("%d ringing, %+v", r.c.Ringing(), r.c.Counters)
+	}
+}
+
+// The ACM is lost and CPG comes: whoever sends it has the address complete.
+func TestCPGWithoutACMCountsAsAlerting(t *testing.T) {
+	r := newRingingRig(t)
+	r.offerCall(1, "2001")
+	cic := r.expectOne(far2, isup.IAM).CIC
+	r.receive(far2, 2, isup.Message{Type: isup.CPG, CIC: cic, Event: 1})
+	r.expectOne(clientAssoc, isup.ACM)
+	r.receive(far2, 2, isup.Message{Type: isup.CPG, CIC: cic, Event: 2})
+	r.expectOne(clientAssoc, isup.CPG)
+	if r.c.Ringing() != 1 || r.view(2).SlotsHeld != 0 {
+		t.Errorf("%d ringing, %+v", r.c.Ringing(), r.view(2))
+	}
+	r.advance(5 * sec)
+	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
+	r.expectOne(clientAssoc, isup.ANM)
+}
+
+// T9 or the caller's patience ends a number that nobody answers: cause 19, no further attempt, and nothing held against the
+// exchange. The final answer leaves before the caller gives up.
+func TestUnansweredCallEndsWithNoAnswerCause(t *testing.T) {
+	for name, tc := range map[string]struct {
+		t9, ring, after time.Duration
+	}{"T9": {10 * sec, 30 * sec, 10 * sec}, "the caller": {90 * sec, 8 * sec, 8*sec - 50*ms}} {
+		r := newRingingRig(t, func(c *Config) { c.T9, c.Classes[0].Ring = tc.t9, tc.ring })
+		r.ring(1, "2001")
+		r.advance(tc.after - ms)
+		r.expectNone(far2)
+		r.advance(2 * ms)
+		if m := r.expectOne(far2, isup.REL); m.Cause != isup.CauseNoAnswer {
+			t.Errorf("%s: released with %d", name, m.Cause)
+		}
+		if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseNoAnswer {
+			t.Errorf("%s: the caller is told %d", name, m.Cause)
+		}
+		if v := r.view(2); v.Silent || v.Load > 0 || r.c.Counters.NoAnswer != 1 || r.c.Counters.TimedOut != 0 {
+			t.Errorf("%s: %+v %+v", name, v, r.c.Counters)
+		}
+	}
+}
+
+// Hooks may have a number that does not answer tried by another way, but never while it still rings there.
+func TestHooksRetryAfterNoAnswerRelease(t *testing.T) {
+	stub, change := newStubHooks(t, "on attempt_end {\n\ttreat_as(34)\n}\n")
+	r := newRingingRig(t, change)
+	cic := r.ring(1, "2001")
+	r.advance(time.Second)
+	r.expectNone(far3)
+	r.receive(far2, 2, isup.Message{Type: isup.REL, CIC: cic, Cause: isup.CauseNoAnswer})
+	r.expectOne(far2, isup.RLC)
+	r.answerHooks(stub)
+	further := r.take(far3)
+	further = append(further, r.take(far2)...)
+	if len(further) != 1 || further[0].Type != isup.IAM {
+		t.Fatalf("%v, want one further attempt", describe(further))
+	}
+	r.expectNone(clientAssoc)
+}
+
+// The caller leaves while it rings: the attempt is released and its end told.
+func TestCallerReleaseWhileRinging(t *testing.T) {
+	r := newRingingRig(t)
+	cic := r.ring(1, "2001")
+	r.advance(4 * sec)
+	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 1, Cause: isup.CauseNormal})
+	r.expectOne(clientAssoc, isup.RLC)
+	if m := r.expectOne(far2, isup.REL); m.CIC != cic || m.Cause != isup.CauseNormal {
+		t.Errorf("%+v", m)
+	}
+	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic}) // crossed
+	r.expectNone(clientAssoc)
+	if r.c.Open() != 0 || r.c.Ringing() != 0 || r.c.Waiting() != 0 {
+		t.Errorf("%d open, %d ringing, %d waiting", r.c.Open(), r.c.Ringing(), r.c.Waiting())
+	}
+}
+
+// A far exchange drains and this controller is drained while a call rings: it is not cut short.
+func TestRingingCallSurvivesDrain(t *testing.T) {
+	r := newRingingRig(t)
+	cic := r.ring(1, "2001")
+	r.receiveSSNM(ownAssoc, m3ua.DRST, 2)
+	r.c.Drain()
+	r.advance(10 * sec)
+	r.expectNone(clientAssoc)
+	r.expectNone(far2)
+	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic})
+	r.expectOne(clientAssoc, isup.ANM)
+}
+
+// The association is lost, or the far switch starts anew, while a call rings: it has its final answer, and no further attempt
+// leaves within the guard.
+func TestRingingCallEndsWhenSwitchIsLost(t *testing.T) {
+	for _, lost := range []string{"association", "reset"} {
+		r := newRingingRig(t)
+		cic := r.ring(1, "2001")
+		r.advance(5 * sec) // beyond the time of its set-up: nothing further is tried
+		if lost == "association" {
+			r.c.AssocDown(r.now, far2)
+			r.flush()
+		} else {
+			r.receive(far2, 2, isup.Message{Type: isup.RSC, CIC: cic})
+		}
+		if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseTemporary {
+			t.Errorf("%s: the caller is told %d", lost, m.Cause)
+		}
+		r.advance(sec)
+		r.expectNone(far3)
+		if r.c.Waiting() != 0 || r.c.Ringing() != 0 {
+			t.Errorf("%s: %d waiting, %d ringing", lost, r.c.Waiting(), r.c.Ringing())
+		}
+		r = newRingingRig(t)
+		cic = r.ring(1, "2001")
+		r.advance(100 * ms)
+		r.receive(far2, 2, isup.Message{Type: isup.RSC, CIC: cic})
+		r.take(far2)
+		r.advance(199 * ms)
+		if m := append(r.take(far2), r.take(far3)...); len(m) > 0 {
+			t.Errorf("%v within the guard", describe(m))
+		}
+		r.advance(10 * ms)
+		if m := append(r.take(far2), r.take(far3)...); len(m) != 1 || m[0].Type != isup.IAM {
+			t.Errorf("%v after the guard, want a further attempt", describe(m))
+		}
+	}
+}
+
+// Mass calling to a number that rings for ever: it takes circuits, and the processor's slots stay free for others.
+func TestRingingCallsHoldNoProcessorSlots(t *testing.T) {
+	r := newRig(t, 400)
+	for i := range 300 {
+		r.offerCall(uint16(i+1), "2001")
+		for _, m := range r.take(far2) {
+			if m.Type == isup.IAM {
+				r.receive(far2, 2, isup.Message{Type: isup.ACM, CIC: m.CIC})
+			}
+		}
+		r.take(clientAssoc)
+		r.advance(10 * ms)
+	}
+	if v := r.view(2); r.c.Ringing() != 300 || v.SlotsHeld != 0 || v.Pending != 0 {
+		t.Fatalf("%d ring, %+v", r.c.Ringing(), v)
+	}
+	r.take(far2)
+	r.offerCall(301, "2999")
+	r.expectOne(far2, isup.IAM)
+}
+
+// The wait from REL to RLC is told as the switch's load, the lateness of the decision queue as the own.
+func TestReleaseAndQueueDelaysAreReportedAsLoad(t *testing.T) {
+	r := newRingingRig(t)
+	for i := range 40 {
+		cic := r.ring(uint16(i+1), "2001")
+		r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: uint16(i + 1), Cause: isup.CauseNormal})
+		r.take(clientAssoc)
+		r.expectOne(far2, isup.REL)
+		r.advance(900 * ms)
+		r.receive(far2, 2, isup.Message{Type: isup.RLC, CIC: cic})
+		r.advance(100 * ms)
+	}
+	if v := r.view(2); v.Load < 0.9 {
+		t.Errorf("releases take 0.9 s, and the load reads %.2f", v.Load)
+	}
+	for range 4 {
+		r.c.RecordQueueDelay(40*sec, 50)
+		r.advance(500 * ms)
+	}
+	if v := r.view(1); v.Load < 0.9 {
+		t.Errorf("events wait 0.8 s, and the own load reads %.2f", v.Load)
+	}
+	r.c.Handle(r.now, ownAssoc, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 1}}, Congestion: 3})
+	r.advance(2 * sec)
+	if v := r.view(1); v.Load < 0.99 {
+		t.Errorf("the own switch is congested, and the own load reads %.2f", v.Load)
+	}
+}
--- a/controller/servers.go
+++ b/controller/servers.go
@@ -8,120 +8,122 @@
 	"github.com/umbergauge/umbergauge/m3ua"
 )
 
-// A client may be an application server with several associations (RFC 4666, 4.3.2). They share its circuits, its account at
-// the door and its calls, which outlive the loss of any association, and of all of them for T(r). Which association takes a
-// message is decided by m3ua.AS.
+// A client may be an application server with several associations (RFC 4666, 4.3.2). They share its circuits, its limits
+// and its calls. The calls survive the loss of any association, and the loss of all associations for T(r). m3ua.AS decides
+// which association a message is sent on.
 
-// serverUp takes an association of an application server, or one that is to have its traffic again.
-func (c *Core) serverUp(a *assoc) {
-	if old := c.assocs[a.id]; old != nil {
-		a = old
+// serverAssocUp adds an association of an application server, or gives an existing one the traffic again.
+func (c *Core) serverAssocUp(assoc *association) {
+	if old := c.assocs[assoc.id]; old != nil {
+		assoc = old
 	}
-	s := c.servers[a.peer.Server]
-	if s == nil {
-		a.legs, a.door = map[uint64]*leg{}, c.door.AddClient(c.now)
-		s = &server{name: a.peer.Server, first: a, as: m3ua.NewAS(a.peer.Mode, c.cfg.Recovery, c.cfg.RecoveryOctets)}
-		c.servers[s.name] = s
+	server := c.servers[assoc.peer.Server]
+	if server == nil {
+		assoc.circuits, assoc.limits = map[uint64]*clientCircuit{}, c.limits.AddClient(c.now)
+		server = &appServer{name: assoc.peer.Server, firstAssoc: assoc, as: m3ua.NewAS(assoc.peer.Mode, c.cfg.Recovery, c.cfg.RecoveryOctets)}
+		c.servers[server.name] = server
 	}
-	a.server, a.legs, a.door, a.peer.Tenant = s, s.first.legs, s.first.door, s.first.peer.Tenant
-	c.assocs[a.id] = a
-	c.wheel.Stop(s.timer)
-	kept, replaced := s.as.Up(uint32(a.id))
-	for _, f := range kept {
-		if !c.send(a.id, f) {
-			c.port.Close(a.id, "its queue is full")
+	assoc.appServer, assoc.circuits, assoc.limits, assoc.peer.Tenant = server, server.firstAssoc.circuits, server.firstAssoc.limits, server.firstAssoc.peer.Tenant
+	c.assocs[assoc.id] = assoc
+	c.wheel.Stop(server.timer)
+	queued, replaced := server.as.Up(uint32(assoc.id))
+	for _, frame := range queued {
+		if !c.send(assoc.id, frame) {
+			c.port.Close(assoc.id, "send queue full")
 			break
 		}
 	}
 	for _, id := range replaced {
-		c.frame = m3ua.Append(c.frame[:0], &m3ua.Message{Kind: m3ua.NTFY, StatusType: m3ua.StatusOther, StatusInfo: m3ua.InfoAlternateASP})
-		c.port.Send(AssocID(id), c.frame)
+		c.frameBuffer = m3ua.Append(c.frameBuffer[:0], &m3ua.Message{Kind: m3ua.NTFY, StatusType: m3ua.StatusOther, StatusInfo: m3ua.InfoAlternateASP})
+		c.port.Send(AssocID(id), c.frameBuffer)
 	}
 }
 
-// serverDown takes the loss of one of a server's associations. What was queued on it and never handed to its connection goes
-// to another before anything later does, or waits for one.
-func (c *Core) serverDown(a *assoc) {
-	s := a.server
-	if !s.as.Active(uint32(a.id)) {
+// serverAssocDown handles the loss of one of a server's associations. Frames that were queued on it but never passed to its
+// connection are sent on another association before any later frame, or queued until there is one.
+func (c *Core) serverAssocDown(assoc *association) {
+	server := assoc.appServer
+	if !server.as.Active(uint32(assoc.id)) {
 		return
 	}
-	s.as.Down(c.now, uint32(a.id))
-	if s.as.State() == m3ua.ASPending {
+	server.as.Down(c.now, uint32(assoc.id))
+	if server.as.State() == m3ua.ASPending {
 		c.Counters.Pending++
-		c.wheel.Stop(s.timer)
-		s.timer = c.wheel.Set(s.as.Until(), alarm{kind: recoveryTimer, as: s})
+		c.wheel.Stop(server.timer)
+		server.timer = c.wheel.Set(server.as.Until(), timerEvent{kind: timerRecovery, as: server})
 	}
-	for b := c.port.Unsent(a.id); len(b) >= m3ua.HeaderLen; {
-		n, err := m3ua.Length(b)
-		if err != nil || n > len(b) {
+	for unsent := c.port.Unsent(assoc.id); len(unsent) >= m3ua.HeaderLen; {
+		length, err := m3ua.Length(unsent)
+		if err != nil || length > len(unsent) {
 			return
 		}
-		var m m3ua.Message
-		if m3ua.Decode(b[:n], &m) == nil && m.Kind == m3ua.DATA {
-			c.route(s, b[:n], m.Data.SLS, 0)
+		var message m3ua.Message
+		if m3ua.Decode(unsent[:length], &message) == nil && message.Kind == m3ua.DATA {
+			c.routeToServer(server, unsent[:length], message.Data.SLS, 0)
 		}
-		b = b[n:]
+		unsent = unsent[length:]
 	}
 }
 
-// serverGone ends a server's calls: nobody has come within T(r), or more waits for it than may.
-func (c *Core) serverGone(s *server) {
-	c.wheel.Stop(s.timer)
-	delete(c.servers, s.name)
-	a := s.first
-	for _, key := range slices.Sorted(maps.Keys(a.legs)) {
-		l := a.legs[key]
-		if l == nil {
+// closeServer ends a server's calls: T(r) expired without a new association, or its queue overflowed.
+func (c *Core) closeServer(server *appServer) {
+	c.wheel.Stop(server.timer)
+	delete(c.servers, server.name)
+	assoc := server.firstAssoc
+	for _, key := range slices.Sorted(maps.Keys(assoc.circuits)) {
+		circuit := assoc.circuits[key]
+		if circuit == nil {
 			continue
 		}
-		delete(a.legs, key)
-		c.wheel.Stop(l.timer)
-		if k := l.call; k != nil {
-			k.leg, l.call = nil, nil
-			c.callerLeft(k, isup.CauseTemporary)
+		delete(assoc.circuits, key)
+		c.wheel.Stop(circuit.timer)
+		if call := circuit.openCall; call != nil {
+			call.clientCircuit, circuit.openCall = nil, nil
+			c.callerReleased(call, isup.CauseTemporary)
 		}
 	}
-	c.door.RemoveClient(a.door)
+	c.limits.RemoveClient(assoc.limits)
 }
 
-// toServer sends a message to a client with several associations.
-func (c *Core) toServer(l *leg, frame []byte) {
-	if id := c.route(l.assoc.server, frame, byte(l.cic&15), uint32(l.assoc.id)); id != 0 {
-		l.assoc = c.assocs[AssocID(id)]
+// sendToServer sends a message to a client with several associations.
+func (c *Core) sendToServer(circuit *clientCircuit, frame []byte) {
+	if id := c.routeToServer(circuit.association.appServer, frame, byte(circuit.cic&15), uint32(circuit.association.id)); id != 0 {
+		circuit.association = c.assocs[AssocID(id)]
 	}
 }
 
-// route hands a frame to the associations that are to have it, or keeps it. It returns the one that has it, if it is one. An
-// association that takes no more is lost: the frame goes to the next.
-func (c *Core) route(s *server, frame []byte, sls byte, last uint32) (id uint32) {
+// routeToServer sends a frame on the associations that m3ua.AS selects, or queues it while there is none. It returns the
+// association if there is exactly one, else 0. An association whose send queue is full counts as lost: the frame is routed
+// again.
+func (c *Core) routeToServer(server *appServer, frame []byte, sls byte, last uint32) (id uint32) {
 	for {
-		to, ok := s.as.Route(frame, sls, last, c.routed[:0])
-		c.routed = to
+		targets, ok := server.as.Route(frame, sls, last, c.routeBuffer[:0])
+		c.routeBuffer = targets
 		if !ok {
-			// As much waits as may: its calls cannot be told apart by what they have lost, so all end. The timer does it,
-			// since a call of it is being dealt with here.
-			if s.as.State() == m3ua.ASPending {
-				c.wheel.Stop(s.timer)
-				s.as.GiveUp(c.now)
-				s.timer = c.wheel.Set(c.now, alarm{kind: recoveryTimer, as: s})
+			// The frame is lost; in state pending this means that the queue is full. All calls of the server end then, since
+			// it is not recorded which of them lost a message. The recovery timer ends them, because one of them is being
+			// handled here.
+			if server.as.State() == m3ua.ASPending {
+				c.wheel.Stop(server.timer)
+				server.as.GiveUp(c.now)
+				server.timer = c.wheel.Set(c.now, timerEvent{kind: timerRecovery, as: server})
 			}
 			return 0
 		}
-		var failed []*assoc
-		for _, id := range to {
-			if a := c.assocs[AssocID(id)]; !c.send(a.id, frame) {
-				failed = append(failed, a)
+		var failed []*association
+		for _, id := range targets {
+			if assoc := c.assocs[AssocID(id)]; !c.send(assoc.id, frame) {
+				failed = append(failed, assoc)
 			}
 		}
-		for _, a := range failed {
-			c.port.Close(a.id, "its queue is full")
-			c.serverDown(a)
+		for _, assoc := range failed {
+			c.port.Close(assoc.id, "send queue full")
+			c.serverAssocDown(assoc)
 		}
 		switch {
-		case len(failed) == 0 && len(to) == 1:
-			return to[0]
-		case len(failed) == 0 || len(failed) < len(to):
+		case len(failed) == 0 && len(targets) == 1:
+			return targets[0]
+		case len(failed) == 0 || len(failed) < len(targets):
 			return 0
 		}
 	}
--- a/controller/view.go
+++ b/controller/view.go
@@ -11,7 +11,7 @@
 	"github.com/umbergauge/umbergauge/trunk"
 )
 
-// GroupView is what operators see of a trunk group.
+// GroupView is the state of a trunk group as shown to operators.
 type GroupView struct {
 	Far                                      uint32
 	Free, Size                               int
@@ -20,12 +20,12 @@
 	DualSeizures, Resets, Leaks              int
 }
 
-// Groups are all trunk groups, in the order of the settings.
+// Groups returns all trunk groups, in the order of the settings.
 func (c *Core) Groups() []GroupView {
 	var out []GroupView
-	for _, f := range c.fars {
-		if g := f.group; g != nil {
-			out = append(out, GroupView{Far: f.PointCode, Free: g.Free(), Size: g.Size(), Outgoing: g.Count(trunk.Outgoing),
+	for _, far := range c.farExchanges {
+		if g := far.group; g != nil {
+			out = append(out, GroupView{Far: far.PointCode, Free: g.Free(), Size: g.Size(), Outgoing: g.Count(trunk.Outgoing),
 				Incoming: g.Count(trunk.Incoming), Releasing: g.Count(trunk.Releasing), Resetting: g.Count(trunk.Resetting),
 				InSync: g.InSync(), DualSeizures: g.DualSeizures, Resets: g.Resets, Leaks: g.Leaks})
 		}
@@ -33,20 +33,20 @@
 	return out
 }
 
-// Ready tells whether the own switch is reached and every group is in agreement with its far end.
+// Ready tells whether the own switch is connected and every trunk group is in sync with its far end.
 func (c *Core) Ready() bool {
-	for _, f := range c.fars {
-		if f.group != nil && !f.group.InSync() {
+	for _, far := range c.farExchanges {
+		if far.group != nil && !far.group.InSync() {
 			return false
 		}
 	}
-	return c.own != nil
+	return c.ownSwitch != nil
 }
 
-// Views are the module's views of the exchanges, the own one first.
-func (c *Core) Views() []policy.View { return c.module.View(nil) }
+// Views returns the policy engine's views of the exchanges, the own one first.
+func (c *Core) Views() []policy.View { return c.engine.View(nil) }
 
-// CallView is what operators see of a call.
+// CallView is the state of a call as shown to operators.
 type CallView struct {
 	ID       uint64
 	State    string
@@ -56,35 +56,35 @@
 	Age      time.Duration
 }
 
-// Calls are the oldest open calls, n at most, and the number of all.
+// Calls returns the oldest open calls, at most n, and the number of all open calls.
 func (c *Core) Calls(n int) ([]CallView, int) {
 	var out []CallView
-	for _, k := range c.calls {
-		v := CallView{ID: k.id, Called: k.iam.Called, To: k.dest, Via: k.via, Attempts: k.attempts, Age: c.now - k.arrived}
+	for _, call := range c.calls {
+		view := CallView{ID: call.id, Called: call.iam.Called, To: call.destination, Via: call.via, Attempts: call.attempts, Age: c.now - call.arrivedAt}
 		switch {
-		case k.phase == standing:
-			v.State = "standing"
-		case k.rings:
-			v.State = "ringing"
-		case k.to != nil:
-			v.State = "setting"
+		case call.phase == phaseEstablished:
+			view.State = "standing"
+		case call.alerting:
+			view.State = "ringing"
+		case call.outExchange != nil:
+			view.State = "setting"
 		default:
-			v.State = "held"
+			view.State = "held"
 		}
-		out = append(out, v)
+		out = append(out, view)
 	}
 	slices.SortFunc(out, func(a, b CallView) int { return cmp.Or(cmp.Compare(b.Age, a.Age), cmp.Compare(a.ID, b.ID)) })
 	return out[:min(n, len(out))], len(c.calls)
 }
 
-// Block blocks or unblocks the trunk group to an exchange: calls on it go on, no new one takes it from either end.
-func (c *Core) Block(now time.Duration, pc uint32, on bool) error {
+// Block blocks or unblocks the trunk group to an exchange: calls on it continue, and neither end seizes it for new ones.
+func (c *Core) Block(now time.Duration, pc uint32, blocked bool) error {
 	c.now = now
-	f := c.byPC[pc]
-	if f == nil || f.group == nil {
+	far := c.byPC[pc]
+	if far == nil || far.group == nil {
 		return fmt.Errorf("there is no trunk group to exchange %d", pc)
 	}
-	f.group.Block(on)
-	c.acts(f)
+	far.group.Block(blocked)
+	c.runGroupActions(far)
 	return nil
 }
