--- a/controller/causes.go
+++ b/controller/causes.go
@@ -53,5 +53,5 @@
 	return isup.CauseCongestion
 }
 
-// isNormalClearing tells whether an established call ended because a party hung up.
+// isNormalClearing tells whether the cause is that of a normal hang-up; an established call with any other cause was cut.
 func isNormalClearing(cause isup.Cause) bool { return cause == isup.CauseNormal }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -80,7 +80,9 @@
 
 // Engine makes the decisions on calls. In production it is *policy.Engine.
 type Engine interface {
+	// Handle handles an event and appends the resulting actions to out.
 	Handle(now time.Duration, event policy.Event, out []policy.Action) []policy.Action
+	// View appends the state of each exchange to out, the own one first.
 	View(out []policy.View) []policy.View
 }
 
@@ -706,14 +708,14 @@
 
 // closeEarlierAssocs closes a client's other associations, so that their calls end before the new one brings any.
 func (c *Core) closeEarlierAssocs(now time.Duration, asp uint32) {
-	var old []AssocID
+	var earlier []AssocID
 	for id, assoc := range c.assocs {
 		if assoc.peer.Kind == Client && assoc.peer.ASP == asp {
-			old = append(old, id)
+			earlier = append(earlier, id)
 		}
 	}
-	slices.Sort(old)
-	for _, id := range old {
+	slices.Sort(earlier)
+	for _, id := range earlier {
 		c.port.Close(id, "replaced by a newer association of the same client")
 		c.AssocDown(now, id)
 	}
@@ -723,9 +725,9 @@
 // last contact. If the exchange had been reached before, or may have restarted, the switch is a different machine and is
 // treated as freshly started.
 func (c *Core) addressChanged(far *farExchange, address string) {
-	old := far.Address
-	if c.byAddress[old] == far {
-		delete(c.byAddress, old)
+	oldAddress := far.Address
+	if c.byAddress[oldAddress] == far {
+		delete(c.byAddress, oldAddress)
 	}
 	far.Address = address
 	c.byAddress[address] = far
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -18,7 +18,7 @@
 	ms  = time.Millisecond
 )
 
-// The rig: one controller of exchange 1 with exchanges 2 and 3, every frame that it sends kept by association.
+// Associations of a rig.
 const (
 	clientAssoc AssocID = 100
 	ownAssoc    AssocID = 101
@@ -26,6 +26,8 @@
 	far3        AssocID = 103
 )
 
+// rig runs one controller of exchange 1 beside the far exchanges 2 and 3, and records what the controller sends on each
+// association.
 type rig struct {
 	t          *testing.T
 	c          *Core
@@ -45,25 +47,26 @@
 	frame = append([]byte(nil), frame...)
 	var m m3ua.Message
 	if err := m3ua.Decode(frame, &m); err != nil {
-		r.t.Fatalf("sends what cannot be read: %v", err)
+		r.t.Fatalf("controller sent a malformed frame: %v", err)
 	}
 	if m.Kind != m3ua.DATA {
 		r.management[id] = append(r.management[id], m)
 		return true
 	}
-	var u isup.Message
-	if err := isup.Decode(m.Data.User, &u); err != nil {
-		r.t.Fatalf("sends what cannot be read: %v", err)
+	var user isup.Message
+	if err := isup.Decode(m.Data.User, &user); err != nil {
+		r.t.Fatalf("controller sent a malformed frame: %v", err)
 	}
-	r.sent[id] = append(r.sent[id], u)
+	r.sent[id] = append(r.sent[id], user)
 	return true
 }
 
 func (r *rig) Close(id AssocID, why string)       { r.closed[id] = why }
-func (r *rig) Unsent(id AssocID) []byte           { b := r.unsent[id]; delete(r.unsent, id); return b }
+func (r *rig) Unsent(id AssocID) []byte           { frames := r.unsent[id]; delete(r.unsent, id); return frames }
 func (r *rig) CallEnded(record CallRecord)        { r.records = append(r.records, record) }
 func (r *rig) ExchangeChanged(policy.Entry, bool) {}
 
+// newRig makes a rig with trunk groups of the given size; all associations are up and all circuits idle.
 func newRig(t *testing.T, circuits int, change ...func(*Config)) *rig {
 	cfg := Config{
 		PointCode: 1, Hops: 5, AnswerMargin: 50 * ms, CutMemory: 10 * sec,
@@ -92,7 +95,7 @@
 	return r
 }
 
-// up brings a far association up and answers its queries, with all circuits busy or idle.
+// farUp brings up the association to a far exchange and answers circuit queries with all circuits busy or idle.
 func (r *rig) farUp(id AssocID, pc uint32, addr string, busy bool) {
 	r.c.AssocUp(r.now, id, Peer{Kind: FarSwitch, PC: pc, Address: addr})
 	for _, m := range r.take(id) {
@@ -112,26 +115,28 @@
 
 func (r *rig) flush() { r.c.Flush(r.now) }
 
+// take returns the messages sent on an association since the last call.
 func (r *rig) take(id AssocID) []isup.Message {
 	m := r.sent[id]
 	r.sent[id] = nil
 	return m
 }
 
-// one takes the single message sent on an association, which must be of the given type.
+// expectOne returns the only message sent on an association, which must be of the given type.
 func (r *rig) expectOne(id AssocID, t isup.Type) isup.Message {
 	r.t.Helper()
 	m := r.take(id)
 	if len(m) != 1 || m[0].Type != t {
-		r.t.Fatalf("on %d: %v, want one %v", id, describe(m), t)
+		r.t.Fatalf("association %d: sent %v, want one %v", id, describe(m), t)
 	}
 	return m[0]
 }
 
+// expectNone fails the test if a message was sent on an association.
 func (r *rig) expectNone(id AssocID) {
 	r.t.Helper()
 	if m := r.take(id); len(m) > 0 {
-		r.t.Fatalf("on %d: %v, want nothing", id, describe(m))
+		r.t.Fatalf("association %d: sent %v, want nothing", id, describe(m))
 	}
 }
 
@@ -142,13 +147,14 @@
 	return s
 }
 
+// receive passes an ISUP message to the controller.
 func (r *rig) receive(id AssocID, opc uint32, m isup.Message) {
 	frame := m3ua.Append(nil, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: opc, DPC: 1, SI: 5, User: isup.Append(nil, &m)}})
-	var x m3ua.Message
-	if err := m3ua.Decode(frame, &x); err != nil {
+	var decoded m3ua.Message
+	if err := m3ua.Decode(frame, &decoded); err != nil {
 		r.t.Fatal(err)
 	}
-	r.c.Handle(r.now, id, &x)
+	r.c.Handle(r.now, id, &decoded)
 	r.flush()
 }
 
@@ -157,7 +163,7 @@
 	r.flush()
 }
 
-// wait lets time pass, tick by tick.
+// advance lets time pass and ticks at the expiry of each timer.
 func (r *rig) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now = end
@@ -174,8 +180,8 @@
 	if err != nil {
 		panic(err)
 	}
-	from, _ := isup.ParseNumber(4, fmt.Sprint(9000+int(cic)))
-	return isup.Message{Type: isup.IAM, CIC: cic, Category: isup.CategoryOrdinary, Called: number, HasCalling: true, Calling: from,
+	calling, _ := isup.ParseNumber(4, fmt.Sprint(9000+int(cic)))
+	return isup.Message{Type: isup.IAM, CIC: cic, Category: isup.CategoryOrdinary, Called: number, HasCalling: true, Calling: calling,
 		HasRef: true, Ref: isup.CallReference{ID: uint32(cic), PC: 99}}
 }
 
@@ -216,7 +222,7 @@
 		r.receive(far2, 2, isup.Message{Type: isup.REL, CIC: cic, Cause: cause})
 		r.expectOne(far2, isup.RLC)
 		if m := r.expectOne(clientAssoc, isup.REL); m.Cause != cause {
-			t.Errorf("the caller is told %d", m.Cause)
+			t.Errorf("caller released with cause %d", m.Cause)
 		}
 		if record := r.records[len(r.records)-1]; record.Outcome != want || record.Via != 2 {
 			t.Errorf("%+v, want %v", record, want)
@@ -224,21 +230,21 @@
 	}
 }
 
-// The answer comes after the own time-out: the caller has had its final answer, and nothing follows.
+// An ANM after the attempt's time-out must not reach the caller, who already has its final answer, nor cause a second REL.
 func TestAnswerAfterTimeOutIsDropped(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
 	cic := r.expectOne(far2, isup.IAM).CIC
 	r.advance(1501 * ms)
 	if m := r.expectOne(far2, isup.REL); m.Cause != isup.CauseTimer {
-		t.Errorf("released with %d", m.Cause)
+		t.Errorf("attempt released with cause %d", m.Cause)
 	}
 	r.expectOne(clientAssoc, isup.REL)
 	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic})
 	r.expectNone(clientAssoc)
 	r.expectNone(far2)
 	if r.c.Counters.LateAnswers != 1 {
-		t.Error("not counted")
+		t.Error("late answer not counted")
 	}
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.RLC, CIC: 1})
 	r.receive(far2, 2, isup.Message{Type: isup.RLC, CIC: cic})
@@ -247,7 +253,7 @@
 	r.expectNone(far2)
 }
 
-// The client's REL crosses the ANM: the ANM is not sent twice, both sides are cleared, and the circuit comes free.
+// The caller's REL crosses the ANM: the ANM must not be passed back, and both circuits must come free.
 func TestReleaseCrossingAnswerClearsBothSides(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
@@ -259,14 +265,15 @@
 	r.expectNone(clientAssoc)
 	r.receive(far2, 2, isup.Message{Type: isup.RLC, CIC: cic})
 	if r.c.byPC[2].group.Free() != 10 || r.c.Open() != 0 {
-		t.Error("something is left")
+		t.Error("a call or a seized circuit is left")
 	}
 	if record := r.records[len(r.records)-1]; record.Outcome != Abandoned {
 		t.Errorf("%+v", record)
 	}
 }
 
-// Both RELs cross on the far side: each is answered, the circuit comes free once.
+// Our REL crosses that of the far switch: theirs must be answered by RLC, and the circuit must come free only when RLC answers
+// ours.
 func TestCrossedReleasesFreeCircuitOnce(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
@@ -276,25 +283,26 @@
 	r.receive(far2, 2, isup.Message{Type: isup.REL, CIC: cic, Cause: isup.CauseUserBusy})
 	r.expectOne(far2, isup.RLC)
 	if r.c.byPC[2].group.Free() != 9 {
-		t.Error("free before its RLC")
+		t.Error("circuit free before RLC")
 	}
 	r.receive(far2, 2, isup.Message{Type: isup.RLC, CIC: cic})
 	if r.c.byPC[2].group.Free() != 10 {
-		t.Error("not free after its RLC")
+		t.Error("circuit not free after RLC")
 	}
 }
 
-// REL to a client without RLC is sent again a few times, then the circuit is given up; a new IAM takes it at once.
+// A client that never answers REL with RLC must not keep the circuit seized for ever, nor cause endless retransmissions. A
+// new IAM on the circuit counts as RLC.
 func TestReleaseWithoutRLCIsRetransmittedThenGivenUp(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "77")
 	r.expectOne(clientAssoc, isup.REL)
 	r.advance(4 * time.Minute)
 	if n := len(r.take(clientAssoc)); n != maxReleaseRetransmissions {
-		t.Errorf("REL is repeated %d times", n)
+		t.Errorf("REL retransmitted %d times", n)
 	}
 	if len(r.c.assocs[clientAssoc].circuits) != 0 {
-		t.Error("the circuit is never given up")
+		t.Error("the circuit is not given up")
 	}
 	r.offerCall(2, "77")
 	r.take(clientAssoc)
@@ -315,12 +323,12 @@
 	m.HasHops, m.Hops = true, 0
 	r.receive(clientAssoc, 900, m)
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != 25 {
-		t.Errorf("a call without hops left: cause %d", m.Cause)
+		t.Errorf("hop counter used up: cause %d", m.Cause)
 	}
 }
 
-// The association dies with calls out and standing: the one being set up is failed after the guard at the earliest, the
-// standing one is held, and what the far end does not know afterwards is cut.
+// The association is lost with one call being set up and one established. The first must fail, with no other attempt within
+// the guard; the second is kept, and cut only when the far switch comes back without knowing it.
 func TestAssociationLossThenRestartCutsUnknownCall(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
@@ -331,26 +339,26 @@
 	r.c.AssocDown(r.now, far2)
 	r.flush()
 	r.advance(190 * ms)
-	r.expectNone(far3) // the guard
+	r.expectNone(far3) // within the guard
 	r.advance(2 * sec)
 	for _, m := range r.take(clientAssoc) {
 		if m.Type != isup.REL || m.CIC != 2 {
-			t.Errorf("the caller is told %v on %d", m.Type, m.CIC)
+			t.Errorf("caller received %v on circuit %d", m.Type, m.CIC)
 		}
 	}
 	if r.c.Open() != 1 {
 		t.Fatalf("%d calls open", r.c.Open())
 	}
-	r.farUp(far2, 2, "h2", false) // it knows nothing: started anew
+	r.farUp(far2, 2, "h2", false) // all circuits idle there: it has restarted
 	if m := r.expectOne(clientAssoc, isup.REL); m.CIC != 1 {
 		t.Errorf("%+v", m)
 	}
 	if far := r.c.byPC[2]; far.launched != r.now || far.group.Free() != 10 {
-		t.Errorf("launched %v, %d free", far.launched, far.group.Free())
+		t.Errorf("launched %v, %d circuits free", far.launched, far.group.Free())
 	}
 }
 
-// A switch that still knows its calls has not started anew.
+// A switch that reconnects and still knows its calls has not restarted: it must not be treated as cold, and its calls stay.
 func TestReconnectedSwitchThatKnowsCallsIsNotCold(t *testing.T) {
 	r := newRig(t, 4)
 	r.offerCall(1, "2001")
@@ -361,15 +369,15 @@
 	r.advance(sec)
 	r.farUp(far2, 2, "h2", true)
 	if far := r.c.byPC[2]; far.launched != 0 || far.mayHaveRestarted {
-		t.Errorf("taken for cold: %v", far.launched)
+		t.Errorf("treated as cold, launched %v", far.launched)
 	}
 	r.expectNone(clientAssoc)
 	if r.c.Open() != 1 {
-		t.Error("the standing call is gone")
+		t.Error("the established call was lost")
 	}
 }
 
-// A switch that comes back under a new address is another machine, and cold.
+// A switch that comes back under a new address is a different machine and must be treated as cold.
 func TestNewAddressMakesExchangeCold(t *testing.T) {
 	r := newRig(t, 10)
 	r.c.AssocDown(r.now, far2)
@@ -382,11 +390,13 @@
 	r.offerCall(1, "2001")
 	r.expectOne(far2, isup.IAM)
 	r.offerCall(2, "2001")
-	r.expectNone(far2) // the cold budget of an exchange that never carried a call is one
+	r.expectNone(far2) // a cold exchange that has never carried a call has a cold budget of one
 }
 
+// Both ends seize the last circuit: the end that controls it must keep it, and the call of the other end must not be tried
+// again within the guard.
 func TestDualSeizureIsWonByControllingEnd(t *testing.T) {
-	for _, pc := range []uint32{0, 9} { // circuit 1 is controlled by the lower point code
+	for _, pc := range []uint32{0, 9} { // odd circuits are controlled by the end with the lower point code
 		self := uint32(1)
 		if pc > 0 {
 			self = pc
@@ -407,8 +417,8 @@
 			continue
 		}
 		r.expectNone(ownAssoc)
-		r.expectOne(far2, isup.REL)                              // its switch may never have seen the two meet
-		r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: 1}) // of the call that yielded: disregarded
+		r.expectOne(far2, isup.REL)                              // the far switch may not have noticed the dual seizure
+		r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: 1}) // for the call that lost the circuit: ignored
 		r.expectNone(clientAssoc)
 		r.advance(150 * ms)
 		r.expectNone(far2)
@@ -416,7 +426,7 @@
 		r.advance(3 * sec)
 		r.expectOne(clientAssoc, isup.REL)
 		if state, _ := r.c.byPC[2].group.Circuit(1); state != trunk.Incoming {
-			t.Errorf("the circuit is %v", state)
+			t.Errorf("circuit state %v", state)
 		}
 	}
 }
@@ -426,19 +436,19 @@
 	m := iam(9, "3001")
 	m.HasHops, m.Hops, m.HasDelay, m.Delay = true, 4, true, 100
 	r.receive(ownAssoc, 2, m)
-	x := r.expectOne(far3, isup.IAM)
-	if x.Hops != 3 || x.Delay != 100 || x.Ref != m.Ref {
-		t.Errorf("%+v", x)
+	outgoing := r.expectOne(far3, isup.IAM)
+	if outgoing.Hops != 3 || outgoing.Delay != 100 || outgoing.Ref != m.Ref {
+		t.Errorf("%+v", outgoing)
 	}
-	r.receive(far3, 3, isup.Message{Type: isup.CON, CIC: x.CIC})
-	if b := r.expectOne(ownAssoc, isup.CON); b.CIC != 9 {
-		t.Errorf("%+v", b)
+	r.receive(far3, 3, isup.Message{Type: isup.CON, CIC: outgoing.CIC})
+	if answer := r.expectOne(ownAssoc, isup.CON); answer.CIC != 9 {
+		t.Errorf("%+v", answer)
 	}
 	r.receive(ownAssoc, 2, isup.Message{Type: isup.REL, CIC: 9, Cause: isup.CauseNormal})
 	r.expectOne(far3, isup.REL)
-	r.expectOne(ownAssoc, isup.RLC) // only now may the far end take the circuit again
+	r.expectOne(ownAssoc, isup.RLC) // until then the far end may not seize the circuit again
 	if r.c.byPC[2].group.Free() != 10 || r.c.Open() != 0 {
-		t.Error("something is left")
+		t.Error("a call or a seized circuit is left")
 	}
 }
 
@@ -451,23 +461,24 @@
 		t.Errorf("%+v", m)
 	}
 	if state, _ := r.c.byPC[2].group.Circuit(9); state != trunk.Incoming {
-		t.Errorf("%v before its RLC", state)
+		t.Errorf("circuit state %v before RLC", state)
 	}
 	r.receive(ownAssoc, 2, isup.Message{Type: isup.RLC, CIC: 9})
 	if r.c.byPC[2].group.Free() != 10 {
-		t.Error("not free after its RLC")
+		t.Error("circuit not free after RLC")
 	}
 }
 
-// A call blocked on its own group goes over the tandem; what the tandem says of a full processor is told apart.
+// A call whose direct trunk group is blocked must take the tandem route. When the tandem reports that the processor beyond it
+// is full (cause 42, location network), the caller must receive that cause.
 func TestBlockedGroupUsesTandem(t *testing.T) {
 	r := newRig(t, 10)
 	r.receive(far2, 2, isup.Message{Type: isup.CGB, CIC: 1, Range: 9, Supervision: isup.Hardware, Status: []byte{0xff, 3}})
 	r.take(far2)
 	r.offerCall(1, "2001")
 	r.expectNone(far2)
-	x := r.expectOne(far3, isup.IAM)
-	r.receive(far3, 3, isup.Message{Type: isup.REL, CIC: x.CIC, Cause: isup.CauseCongestion, Location: isup.LocationNetwork})
+	outgoing := r.expectOne(far3, isup.IAM)
+	r.receive(far3, 3, isup.Message{Type: isup.REL, CIC: outgoing.CIC, Cause: isup.CauseCongestion, Location: isup.LocationNetwork})
 	r.expectOne(far3, isup.RLC)
 	r.advance(2 * sec)
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseCongestion {
@@ -475,7 +486,7 @@
 	}
 }
 
-// A draining or gone exchange gets nothing from the instant that it is told.
+// No set-up may be sent to an exchange once the list reports it as draining or gone.
 func TestUnavailableExchangeGetsNoSetUps(t *testing.T) {
 	r := newRig(t, 10)
 	for _, k := range []m3ua.Kind{m3ua.DRST, m3ua.DUNA} {
@@ -485,7 +496,7 @@
 		r.take(clientAssoc)
 		r.receive(clientAssoc, 900, isup.Message{Type: isup.RLC, CIC: 1})
 	}
-	r.receiveSSNM(far3, m3ua.DAVA, 2) // a far switch speaks for itself alone
+	r.receiveSSNM(far3, m3ua.DAVA, 2) // a far switch may report only its own state
 	r.offerCall(1, "2001")
 	r.expectNone(far2)
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.RLC, CIC: 1})
@@ -494,7 +505,7 @@
 	r.expectOne(far2, isup.IAM)
 }
 
-// With the own switch gone the seizures of the other ends are not seen: no circuit is seized.
+// Seizures by the far ends are reported by the own switch: while it is unreachable, no circuit may be seized.
 func TestNoSeizureWithoutOwnSwitch(t *testing.T) {
 	r := newRig(t, 10)
 	r.c.AssocDown(r.now, ownAssoc)
@@ -505,33 +516,34 @@
 	r.expectOne(clientAssoc, isup.REL)
 }
 
-// A full queue towards the switch: the set-up never left, its circuit is free, the caller has an answer.
+// The send queue to the switch is full: the set-up was not sent, so its circuit must come free and the caller must be
+// released. A client whose own send queue is full must be closed.
 func TestFullQueueFreesCircuitAndClosesClient(t *testing.T) {
 	r := newRig(t, 10)
 	r.fullQueues[far2] = true
 	r.offerCall(1, "2001")
 	r.expectOne(clientAssoc, isup.REL)
 	if r.c.byPC[2].group.Free() != 10 {
-		t.Error("the circuit stays taken")
+		t.Error("the circuit stays seized")
 	}
 	r.fullQueues[clientAssoc] = true
 	r.offerCall(2, "77")
 	if r.closed[clientAssoc] == "" {
-		t.Error("a client that does not read is kept")
+		t.Error("a client with a full send queue is not closed")
 	}
 	r.c.AssocDown(r.now, clientAssoc)
 	if r.c.Open() != 0 {
-		t.Error("its calls are kept")
+		t.Error("calls of the lost client are left")
 	}
 }
 
-// The caller's time ends while its call is held: it has its answer before.
+// A held call must be released one answer margin before its caller gives up.
 func TestHeldCallIsReleasedBeforeCallerTimeout(t *testing.T) {
 	r := newRig(t, 1, func(c *Config) { c.Classes[0].Patience = 400 * ms })
 	r.offerCall(1, "2001")
 	cic := r.expectOne(far2, isup.IAM).CIC
 	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
-	r.receive(ownAssoc, 3, iam(1, "1001")) // the group to 3 is taken too
+	r.receive(ownAssoc, 3, iam(1, "1001")) // the only circuit to exchange 3 is busy too
 	r.take(clientAssoc)
 	start := r.now
 	r.offerCall(2, "2002")
@@ -543,7 +555,7 @@
 	_ = start
 }
 
-// A client that is gone: its calls are withdrawn, also those that stand, and nothing is sent to it.
+// When a client's association is lost, its calls must be released, the established ones too, and nothing more sent to it.
 func TestClientLossReleasesItsCalls(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
@@ -557,14 +569,14 @@
 	}
 	r.expectNone(clientAssoc)
 	if r.c.Open() != 0 {
-		t.Errorf("%d open", r.c.Open())
+		t.Errorf("%d calls open", r.c.Open())
 	}
 }
 
-// A client that sends nonsense costs itself alone.
+// Messages that fit no call, and malformed ones, must not disturb calls on other circuits or seize circuits for good.
 func TestInvalidClientMessagesAffectOnlyTheirSender(t *testing.T) {
 	r := newRig(t, 10)
-	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 5, Cause: 16}) // of a call never made
+	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 5, Cause: 16}) // for a call that does not exist
 	r.expectOne(clientAssoc, isup.RLC)
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.RLC, CIC: 5})
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.ANM, CIC: 5})
@@ -583,14 +595,14 @@
 	r.expectOne(far2, isup.REL)
 	r.c.Handle(r.now, clientAssoc, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: 900, SI: 5, User: []byte{7, 0, 1, 0, 0, 0, 10, 3, 9, 9}}})
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseProtocol || m.CIC != 7 {
-		t.Errorf("an IAM that cannot be read: %+v", m)
+		t.Errorf("malformed IAM: %+v", m)
 	}
 	r.c.Handle(r.now, clientAssoc, &m3ua.Message{Kind: m3ua.DUNA, Affected: []m3ua.Affected{{PC: 2}}})
 	r.offerCall(9, "2001")
 	r.expectOne(far2, isup.IAM)
 }
 
-// A standing call is cut and dialled again: the module is told so.
+// A call dialled again after it was cut must be recognised within the cut memory, and not after it.
 func TestCutCallIsRecognisedWithinCutMemory(t *testing.T) {
 	r := newRig(t, 10)
 	for i, after := range []time.Duration{sec, 11 * sec} {
@@ -604,12 +616,12 @@
 		r.advance(after)
 		m := iam(1, "2001")
 		if got := r.c.takeCutCall(&m); got != (i == 0) {
-			t.Errorf("after %v: %v", after, got)
+			t.Errorf("after %v: recognised %v", after, got)
 		}
 	}
 }
 
-// spy hands events on to the module and keeps them.
+// recordingEngine passes events on to the policy engine and records them.
 type recordingEngine struct {
 	Engine
 	events *[]policy.Event
@@ -620,12 +632,12 @@
 	return s.Engine.Handle(now, event, out)
 }
 
-// Congestion and changes of circuits reach the module.
+// Congestion and changes in the number of free circuits must reach the policy engine.
 func TestCongestionAndCircuitChangesReachEngine(t *testing.T) {
 	var events []policy.Event
 	r := newRig(t, 10, func(c *Config) {
-		c.Engine = func(b policy.Config) (Engine, error) {
-			m, err := policy.New(b)
+		c.Engine = func(policyConfig policy.Config) (Engine, error) {
+			m, err := policy.New(policyConfig)
 			return recordingEngine{m, &events}, err
 		}
 	})
@@ -669,23 +681,23 @@
 	r.expectOne(clientAssoc, isup.REL)
 	r.expectOne(far2, isup.REL)
 	if r.c.Open() != 0 {
-		t.Error("a call is left")
+		t.Error("a call is left after ReleaseAll")
 	}
 }
 
 func TestReloadAddsExchangesAndRejectsOtherChanges(t *testing.T) {
 	r := newRig(t, 10)
-	x := append([]Exchange(nil), r.c.cfg.Exchanges...)
-	if err := r.c.Reload(r.now, x[:2]); err == nil {
-		t.Error("a missing exchange passes")
+	exchanges := append([]Exchange(nil), r.c.cfg.Exchanges...)
+	if err := r.c.Reload(r.now, exchanges[:2]); err == nil {
+		t.Error("a missing exchange is accepted")
 	}
-	x[1].Circuits = 11
-	if err := r.c.Reload(r.now, x); err == nil {
-		t.Error("another size passes")
+	exchanges[1].Circuits = 11
+	if err := r.c.Reload(r.now, exchanges); err == nil {
+		t.Error("a changed size of a trunk group is accepted")
 	}
-	x[1].Circuits, x[1].Prefixes = 10, []string{"22"}
-	x = append(x, Exchange{4, "four", "h4", 5, []string{"20"}})
-	if err := r.c.Reload(r.now, x); err != nil {
+	exchanges[1].Circuits, exchanges[1].Prefixes = 10, []string{"22"}
+	exchanges = append(exchanges, Exchange{4, "four", "h4", 5, []string{"20"}})
+	if err := r.c.Reload(r.now, exchanges); err != nil {
 		t.Fatal(err)
 	}
 	r.offerCall(1, "2001")
@@ -698,7 +710,8 @@
 	r.expectOne(104, isup.IAM)
 }
 
-// A whole call costs the same whatever the table holds; B/open-call is what an open call takes.
+// BenchmarkCall measures a whole call, whose cost must not depend on the number of open calls; B/open-call is the memory of
+// an open call.
 func BenchmarkCall(b *testing.B) {
 	for _, open := range []int{1000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(open), func(b *testing.B) { benchmarkCall(b, open, isup.CON) })
@@ -708,6 +721,7 @@
 	}
 }
 
+// discardPort drops all frames, but for the circuit of the last one sent to a far switch.
 type discardPort struct{ lastCIC uint16 }
 
 func (n *discardPort) Send(id AssocID, frame []byte) bool {
@@ -722,7 +736,7 @@
 
 func (n *discardPort) ExchangeChanged(policy.Entry, bool) {}
 
-// benchmarkCall measures one whole call beside open ones, which stand or ring.
+// benchmarkCall measures one whole call beside other open calls, which are established or ringing.
 func benchmarkCall(b *testing.B, open int, answerType isup.Type) {
 	cfg := Config{PointCode: 1, Hops: 5, Policy: policy.Config{Controllers: 2, MaxAttempts: 4, Guard: 200 * ms,
 		Classes: []policy.Class{{Aim: 1500 * ms, Worth: 1, Circuits: 1, Repeatable: true}}},
@@ -756,10 +770,10 @@
 		c.Flush(now)
 	}
 	setUpCall := func(i int) (AssocID, uint32, uint16) {
-		x := i % exchangeCount
-		m := iam(uint16(i%4000), fmt.Sprint(1000+x, "55"))
+		exchange := i % exchangeCount
+		m := iam(uint16(i%4000), fmt.Sprint(1000+exchange, "55"))
 		receive(2, uint32(900+i/4000), m)
-		id, pc := AssocID(1000+x), uint32(1000+x)
+		id, pc := AssocID(1000+exchange), uint32(1000+exchange)
 		cic := port.lastCIC
 		receive(id, pc, isup.Message{Type: answerType, CIC: cic})
 		return id, pc, cic
@@ -780,7 +794,7 @@
 		}
 	}
 	if c.Open() != open {
-		b.Fatalf("%d open", c.Open())
+		b.Fatalf("%d calls open", c.Open())
 	}
 	bytesPerCall := (heapInUse() - heapBefore) / float64(open)
 	defer func() { b.ReportMetric(bytesPerCall, "B/open-call") }()
@@ -794,18 +808,19 @@
 		c.Flush(now)
 	}
 	if c.Open() != open {
-		b.Fatalf("%d open", c.Open())
+		b.Fatalf("%d calls open", c.Open())
 	}
 }
 
-// Limits keep a client's flood out at once, with cause 42, its congestion level, and one SCON for each change.
+// Set-ups beyond a client's rate limit must be released at once with cause 42 and the client's congestion level, with SCON
+// only when that level changes. Other clients are not affected.
 func TestClientOverRateLimitIsRefused(t *testing.T) {
 	r := newRig(t, 100, func(c *Config) { c.Admission.Client = admission.Limits{Rate: 10, Burst: 5} })
 	for cic := uint16(1); cic <= 20; cic++ {
 		r.offerCall(cic, "2001")
 	}
 	if n := len(r.take(far2)); n != 5 {
-		t.Errorf("%d set-ups", n)
+		t.Errorf("%d set-ups sent", n)
 	}
 	kept := r.take(clientAssoc)
 	if len(kept) != 15 {
@@ -828,7 +843,7 @@
 	}
 }
 
-// Open calls count until they are over, however they end.
+// An open call must count against the limits until it ends, however it ends; a set-up that is refused must not count.
 func TestOpenCallLimitCountsUntilCallEnds(t *testing.T) {
 	r := newRig(t, 100, func(c *Config) {
 		c.Admission.Client = admission.Limits{Open: 2}
@@ -847,19 +862,19 @@
 	r.offerCall(4, "2004")
 	r.expectOne(far2, isup.IAM)
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 2, Cause: 16})
-	r.offerCall(5, "77") // never taken: it holds no place
+	r.offerCall(5, "77") // refused: it does not count
 	r.take(clientAssoc)
 	r.take(far2)
 	r.offerCall(6, "2006")
 	r.expectOne(far2, isup.IAM)
 	r.c.AssocDown(r.now, clientAssoc)
 	if r.c.limits.Admit(r.c.limits.AddClient(r.now), r.now) != admission.Admitted || r.c.tenantClients[0].Open() != 0 {
-		t.Errorf("%d open of the tenant", r.c.tenantClients[0].Open())
+		t.Errorf("%d calls of the tenant open", r.c.tenantClients[0].Open())
 	}
 }
 
-// A client that comes again with override ends its old connection and the calls there, before it brings new ones; one
-// without shares the load.
+// A client that reconnects with override must end its earlier associations and their calls before its new calls arrive.
+// Without override the associations share the load.
 func TestOverrideReplacesEarlierAssociations(t *testing.T) {
 	r := newRig(t, 10)
 	first, second, third := AssocID(110), AssocID(111), AssocID(112)
@@ -878,10 +893,10 @@
 	r.receive(third, 900, iam(1, "2001"))
 	r.expectOne(far2, isup.IAM)
 	if r.c.Open() != 1 {
-		t.Errorf("%d open", r.c.Open())
+		t.Errorf("%d calls open", r.c.Open())
 	}
-	r.c.AssocDown(r.now, first) // word of the old one's end comes later
+	r.c.AssocDown(r.now, first) // the loss of the first association is reported late
 	if r.c.Open() != 1 {
-		t.Error("the new one's call is gone")
+		t.Error("the call on the new association was lost")
 	}
 }
--- a/controller/hooks.go
+++ b/controller/hooks.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// proceedWithoutHooks goes on with a call whose hooks were too busy or did not answer in time.
+// proceedWithoutHooks goes on with a call whose hooks were too busy or did not answer in time; it is refused if they declare
+// that.
 func (c *Core) proceedWithoutHooks(call *openCall) {
 	kind := script.Arrival
 	if call.hookWait == hookWaitAttemptEnd {
--- a/controller/hooks_test.go
+++ b/controller/hooks_test.go
@@ -7,7 +7,7 @@
 	"github.com/umbergauge/umbergauge/isup"
 )
 
-// asker keeps the questions; the test answers them, or does not.
+// stubHooks records hook requests; the tests answer them, or leave them unanswered.
 type stubHooks struct {
 	set      *hooks.Set
 	requests []HookRequest
@@ -34,21 +34,21 @@
 	return stub, func(c *Config) { c.Hooks, c.HookDeadline = stub, 20*ms }
 }
 
-// answer runs the hooks of the oldest question and brings their advice.
+// answerHooks runs the hooks of the oldest request and passes on their advice.
 func (r *rig) answerHooks(stub *stubHooks) {
 	r.t.Helper()
 	if len(stub.requests) == 0 {
-		r.t.Fatal("no question")
+		r.t.Fatal("no hook request")
 	}
 	request := stub.requests[0]
 	stub.requests = stub.requests[1:]
-	var adv hooks.Advice
+	var advice hooks.Advice
 	run := hooks.NewRunner()
-	run.Run(request.Set, request.Kind, &request.Event, r.now, &adv)
+	run.Run(request.Set, request.Kind, &request.Event, r.now, &advice)
 	if request.Kind == "arrival" {
-		run.Run(request.Set, "route", &request.Event, r.now, &adv)
+		run.Run(request.Set, "route", &request.Event, r.now, &advice)
 	}
-	r.c.Advise(r.now, request.Call, request.Seq, &adv)
+	r.c.Advise(r.now, request.Call, request.Seq, &advice)
 	r.flush()
 }
 
@@ -85,7 +85,8 @@
 	r.expectOne(clientAssoc, isup.REL)
 }
 
-// Hooks that do not answer, or are too busy to be asked, cost the deadline and nothing else; a late answer is dropped.
+// Hooks that do not answer must delay a call by the deadline at most, and hooks that are too busy must not delay it; a late
+// answer is dropped. With @failure(refuse) the call is refused instead.
 func TestHookTimeOutProceedsOrRefuses(t *testing.T) {
 	stub, change := newStubHooks(t, "on arrival {\n\trefuse(21)\n}\n")
 	r := newRig(t, 10, change)
@@ -97,13 +98,13 @@
 	r.answerHooks(stub)
 	r.expectNone(clientAssoc)
 	if r.c.Counters.HookLate != 1 {
-		t.Error("not counted")
+		t.Error("late hooks not counted")
 	}
 	stub.busy = true
 	r.offerCall(2, "2001")
 	r.expectOne(far2, isup.IAM)
 	if r.c.Counters.HookBusy != 1 {
-		t.Error("not counted")
+		t.Error("busy hooks not counted")
 	}
 	second, change := newStubHooks(t, "@failure(refuse)\non arrival {\n}\n")
 	r = newRig(t, 10, change)
@@ -114,7 +115,8 @@
 	}
 }
 
-// The caller leaves while its call waits for its hooks, at either place.
+// The caller releases its call while the call waits for hooks, on arrival or at the end of an attempt. A late result must not
+// start an attempt or release a circuit that another call has seized meanwhile.
 func TestCallerReleaseWhileHooksArePending(t *testing.T) {
 	stub, change := newStubHooks(t, "on arrival {\n}\non attempt_end {\n}\n")
 	r := newRig(t, 10, change)
@@ -130,18 +132,18 @@
 	cic := r.expectOne(far2, isup.IAM).CIC
 	r.receive(far2, 2, isup.Message{Type: isup.REL, CIC: cic, Cause: 34})
 	r.expectOne(far2, isup.RLC)
-	r.offerCall(3, "2003") // it may take the circuit that is free again
-	r.answerHooks(stub)    // attempt_end of call 2 ...
+	r.offerCall(3, "2003") // it may seize the circuit that has come free
+	r.answerHooks(stub)    // attempt_end of call 2
 	r.take(clientAssoc)
-	r.answerHooks(stub) // ... and arrival of call 3
+	r.answerHooks(stub) // arrival of call 3
 	seen := map[uint16]uint32{}
 	for _, m := range r.take(far2) {
 		if m.Type != isup.IAM || seen[m.CIC] != 0 {
-			t.Errorf("%v on circuit %d, which call %d has", m.Type, m.CIC, seen[m.CIC])
+			t.Errorf("%v on circuit %d, which call %d has seized", m.Type, m.CIC, seen[m.CIC])
 		}
 		seen[m.CIC] = m.Ref.ID
 	}
-	if len(seen) != 2 { // call 3, and call 2 again
+	if len(seen) != 2 { // the attempt of call 3 and the further one of call 2
 		t.Errorf("%v", seen)
 	}
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 2, Cause: 16})
@@ -155,15 +157,15 @@
 	r.expectOne(far2, isup.RLC)
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 4, Cause: 16})
 	r.expectOne(clientAssoc, isup.RLC)
-	r.expectNone(far2) // nothing is out that could be released
+	r.expectNone(far2) // no attempt is outstanding that could be released
 	r.answerHooks(stub)
 	r.advance(5 * sec)
 	if r.c.Waiting() != 0 {
-		t.Errorf("%d calls wait", r.c.Waiting())
+		t.Errorf("%d calls without a final answer", r.c.Waiting())
 	}
 }
 
-// A hook that always says "try again" gets no more attempts than the module allows, and each only where it allows.
+// A hook that turns every failure into a retryable cause must not get more attempts than the policy engine allows.
 func TestRetryAdviceIsLimitedToMaxAttempts(t *testing.T) {
 	a, change := newStubHooks(t, "on attempt_end {\n\ttreat_as(34)\n}\n")
 	r := newRig(t, 10, change)
@@ -189,12 +191,12 @@
 	if attempts < 1 || attempts > 4 {
 		t.Errorf("%d attempts", attempts)
 	}
-	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseUserBusy { // the caller hears the truth
+	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseUserBusy { // the caller receives the true cause
 		t.Errorf("%+v", m)
 	}
 }
 
-// Each call keeps the set that it arrived under.
+// A call must use the hook set of its arrival to its end, even if another set becomes live meanwhile.
 func TestCallKeepsHookSetOfItsArrival(t *testing.T) {
 	stub, change := newStubHooks(t, "on arrival {\n\ttag(\"old\")\n}\non attempt_end {\n\ttag2()\n}\nfn tag2() {\n}\n")
 	r := newRig(t, 10, change)
--- a/controller/session_test.go
+++ b/controller/random_sessions_test.go
@@ -15,29 +15,29 @@
 )
 
 var (
-	sessions     = flag.Int("sessions", 0, "random sessions to play in TestRandomSessions beyond those of CI")
-	firstSession = flag.Uint64("first-session", 1000, "their first seed")
+	sessions     = flag.Int("sessions", 0, "number of random sessions for TestRandomSessions, instead of the 300 of CI")
+	firstSession = flag.Uint64("first-session", 1000, "seed of the first of these sessions")
 )
 
-// watch judges what a controller sends in a random session, by itself: one final answer a call, at most one attempt of it
-// out, and none within the guard.
+// sessionChecker drives a controller through a random session and checks what it sends, independently of the controller's own
+// state: one final answer per call, at most one outstanding attempt, and no attempt within the guard.
 type sessionChecker struct {
 	*rig
-	rng  *rand.Rand
-	seed uint64
-	// by client circuit: the call's reference; final: it has had its answer
+	rng         *rand.Rand
+	seed        uint64
 	calls       map[uint16]*checkedCall
 	byRef       map[uint32]*checkedCall
 	lastRef     uint32
-	outstanding map[string]*checkedCall // by association and circuit: whose attempt is out
+	outstanding map[string]*checkedCall // calls with an outstanding attempt, by association and circuit
 	assoc       map[AssocID]bool
 }
 
+// checkedCall is the checker's record of a client's call.
 type checkedCall struct {
 	ref          uint32
 	offeredAt    time.Duration
-	answered     bool
-	abandoned    bool // its caller has left, or its client
+	finalSent    bool
+	abandoned    bool // the caller has released it
 	outstanding  string
 	guardUntil   time.Duration
 	finalAnswers int
@@ -50,7 +50,7 @@
 
 func circuitKey(id AssocID, cic uint16) string { return fmt.Sprint(id, "/", cic) }
 
-// ended notes that an attempt is out no more; with guard, the call may not be sent again for that long.
+// attemptEnded records that an attempt is no longer outstanding; with guard, no further attempt may start within the guard.
 func (checker *sessionChecker) attemptEnded(circuit string, guard bool) {
 	if c := checker.outstanding[circuit]; c != nil {
 		c.outstanding = ""
@@ -61,7 +61,7 @@
 	}
 }
 
-// look judges what was sent since the last look.
+// check checks what was sent since the last call.
 func (checker *sessionChecker) check() {
 	for _, id := range []AssocID{far2, far3} {
 		for _, m := range checker.take(id) {
@@ -70,15 +70,15 @@
 			case isup.IAM:
 				c := checker.byRef[m.Ref.ID]
 				if c == nil {
-					continue // in transit
+					continue // a transit call
 				}
 				switch {
-				case c.answered || c.abandoned:
-					checker.fail("call %d sent after its end", c.ref)
+				case c.finalSent || c.abandoned:
+					checker.fail("attempt for call %d after its end", c.ref)
 				case c.outstanding != "":
-					checker.fail("call %d sent on %s while it is out on %s", c.ref, circuit, c.outstanding)
+					checker.fail("attempt for call %d on %s while one is outstanding on %s", c.ref, circuit, c.outstanding)
 				case checker.now < c.guardUntil:
-					checker.fail("call %d sent %v before the guard is over", c.ref, c.guardUntil-checker.now)
+					checker.fail("attempt for call %d sent %v before the end of the guard", c.ref, c.guardUntil-checker.now)
 				}
 				if checker.outstanding[circuit] != nil {
 					checker.fail("circuit %s seized twice", circuit)
@@ -96,20 +96,20 @@
 		case isup.ANM, isup.CON, isup.REL:
 			if c == nil {
 				if m.Type != isup.REL {
-					checker.fail("%v on circuit %d, where no call is", m.Type, m.CIC)
+					checker.fail("%v on circuit %d without a call", m.Type, m.CIC)
 				}
 				continue
 			}
-			if !c.answered {
-				c.answered = true
+			if !c.finalSent {
+				c.finalSent = true
 				c.finalAnswers++
 				if m.Type == isup.REL {
 					delete(checker.calls, m.CIC)
 				}
 			} else if m.Type == isup.REL {
-				delete(checker.calls, m.CIC) // it stood and is over
+				delete(checker.calls, m.CIC) // it was established and has ended
 			} else {
-				checker.fail("call %d is answered twice", c.ref)
+				checker.fail("second final answer for call %d", c.ref)
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 	return checker
 }
 
-// anyMessage is a message of any type with random content, legal or not.
+// randomMessage returns a message of any type with random content, legal or not.
 func (checker *sessionChecker) randomMessage() isup.Message {
 	all := []isup.Type{isup.IAM, isup.ACM, isup.CON, isup.ANM, isup.REL, isup.RLC, isup.RSC, isup.BLO, isup.UBL, isup.BLA, isup.UBA, isup.GRS,
 		isup.CGB, isup.CGU, isup.CGBA, isup.CGUA, isup.GRA, isup.CQM, isup.CQR, isup.CPG}
@@ -140,14 +140,14 @@
 		m.Circuits = append(m.Circuits, []byte{isup.CircuitIdle, isup.CircuitIncoming}[checker.rng.IntN(2)])
 	}
 	if m.Type == isup.IAM {
-		x := iam(m.CIC, []string{"1001", "2001", "3001", "77"}[checker.rng.IntN(4)])
-		x.Ref = isup.CallReference{ID: 1<<20 + checker.rng.Uint32N(1<<20), PC: 5}
-		return x
+		setUp := iam(m.CIC, []string{"1001", "2001", "3001", "77"}[checker.rng.IntN(4)])
+		setUp.Ref = isup.CallReference{ID: 1<<20 + checker.rng.Uint32N(1<<20), PC: 5}
+		return setUp
 	}
 	return m
 }
 
-// pass lets time pass and looks at each instant at which something happens.
+// advanceChecked lets time pass and checks at the expiry of each timer.
 func (checker *sessionChecker) advanceChecked(d time.Duration) {
 	for end := checker.now + d; checker.now < end; checker.check() {
 		next := end
@@ -158,14 +158,14 @@
 	}
 }
 
-// step plays one random thing.
+// step makes one random event happen.
 func (checker *sessionChecker) step() {
 	far := []struct {
 		id AssocID
 		pc uint32
 	}{{far2, 2}, {far3, 3}}[checker.rng.IntN(2)]
 	switch op := checker.rng.IntN(100); {
-	case op < 25: // a call
+	case op < 25: // a new call
 		cic := uint16(1 + checker.rng.IntN(40))
 		if checker.calls[cic] != nil {
 			return
@@ -176,13 +176,13 @@
 		m := iam(cic, []string{"2001", "3001", "2002", "3002", "77"}[checker.rng.IntN(5)])
 		m.Ref = isup.CallReference{ID: checker.lastRef, PC: 99}
 		checker.receive(clientAssoc, 900, m)
-	case op < 35: // a caller leaves
+	case op < 35: // a caller releases its call
 		if cic, ok := pickKey(checker.rng, checker.calls); ok {
 			checker.calls[cic].abandoned = true
 			delete(checker.calls, cic)
 			checker.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: cic, Cause: 16})
 		}
-	case op < 65: // a switch answers one of its attempts
+	case op < 65: // a switch answers an outstanding attempt
 		if circuit, ok := pickKey(checker.rng, checker.outstanding); ok {
 			var id AssocID
 			var cic uint16
@@ -200,7 +200,7 @@
 				checker.receive(id, pc, isup.Message{Type: isup.REL, CIC: cic, Cause: []isup.Cause{17, 34, 41, 42, 102}[checker.rng.IntN(5)], Location: isup.Location(3 + checker.rng.IntN(2))})
 			}
 		}
-	case op < 72: // a switch says anything about circuits where no attempt of ours is out, or ends what is
+	case op < 72: // a switch sends any message that does not answer an attempt, but may end one
 		m := checker.randomMessage()
 		if m.Type == isup.ANM || m.Type == isup.CON || m.Type == isup.ACM || m.Type == isup.CPG || m.Type == isup.CQR {
 			return
@@ -217,16 +217,16 @@
 			}
 		}
 		checker.receive(far.id, far.pc, m)
-	case op < 82: // the own switch passes on anything
+	case op < 82: // the own switch passes on any message
 		checker.receive(ownAssoc, far.pc, checker.randomMessage())
-	case op < 86: // a client sends nonsense on circuits beyond its own
+	case op < 86: // a client sends any message on circuits that carry no call
 		m := checker.randomMessage()
 		if m.Type == isup.GRS || m.Type == isup.IAM {
 			return
 		}
 		m.CIC += 100
 		checker.receive(clientAssoc, 900, m)
-	case op < 89: // an association breaks and comes again
+	case op < 89: // an association is lost and comes up again
 		for circuit := range checker.outstanding {
 			var id AssocID
 			var cic uint16
@@ -249,7 +249,7 @@
 	}
 }
 
-// oneOf picks a key, the same one for the same seed.
+// pickKey picks a random key, the same one for the same seed.
 func pickKey[K cmp.Ordered, V any](rng *rand.Rand, m map[K]V) (k K, ok bool) {
 	if len(m) == 0 {
 		return k, false
@@ -257,7 +257,7 @@
 	return slices.Sorted(maps.Keys(m))[rng.IntN(len(m))], true
 }
 
-// endedIfLost ends an attempt that a reset or blocking message of the switch ends.
+// attemptEndedIfReset records the end of an attempt whose circuit a message of the switch resets or blocks for hardware failure.
 func (checker *sessionChecker) attemptEndedIfReset(id AssocID, cic uint16, m isup.Message) {
 	if m.Type == isup.CGB {
 		i := cic - m.CIC
@@ -268,7 +268,8 @@
 	checker.attemptEnded(circuitKey(id, cic), true)
 }
 
-// Random legal and illegal messages in any order: no panic, and the rules hold.
+// Random legal and illegal messages in any order must cause no panic, and the rules that sessionChecker checks must hold. All
+// calls must get their final answer.
 func TestRandomSessions(t *testing.T) {
 	n, from := 300, uint64(1)
 	if *sessions > 0 {
@@ -280,24 +281,24 @@
 			checker.step()
 			checker.check()
 			if t.Failed() {
-				t.Fatalf("session %d", seed)
+				t.Fatalf("session %d failed", seed)
 			}
 		}
-		for range 60 { // all have their answer in the end
+		for range 60 { // time for all calls to get their final answer
 			checker.advanceChecked(100 * ms)
 		}
 		for cic, c := range checker.calls {
-			if !c.answered {
-				t.Fatalf("session %d: call %d on circuit %d has no answer after %v", seed, c.ref, cic, checker.now-c.offeredAt)
+			if !c.finalSent {
+				t.Fatalf("session %d: call %d on circuit %d has no final answer after %v", seed, c.ref, cic, checker.now-c.offeredAt)
 			}
 		}
 		if checker.c.Waiting() > len(checker.transitWaiting()) {
-			t.Fatalf("session %d: %d calls wait", seed, checker.c.Waiting())
+			t.Fatalf("session %d: %d calls without a final answer", seed, checker.c.Waiting())
 		}
 	}
 }
 
-// transitWaiting are the calls in transit that are owed an answer still.
+// transitWaiting returns the transit calls without a final answer.
 func (checker *sessionChecker) transitWaiting() (out []uint64) {
 	for id, call := range checker.c.calls {
 		if call.phase == phaseOffered && call.inExchange != nil {
--- a/controller/ringing_test.go
+++ b/controller/ringing_test.go
@@ -9,6 +9,7 @@
 	"github.com/umbergauge/umbergauge/policy"
 )
 
+// newRingingRig makes a rig whose callers let calls ring for 30 s; T9 is 20 s.
 func newRingingRig(t *testing.T, change ...func(*Config)) *rig {
 	return newRig(t, 20, append([]func(*Config){func(c *Config) {
 		c.Classes[0].Ring, c.Classes[1].Ring, c.T9 = 30*sec, 30*sec, 20*sec
@@ -25,6 +26,7 @@
 	return m.CIC
 }
 
+// view returns the policy engine's view of an exchange.
 func (r *rig) view(pc int) policy.View {
 	r.t.Helper()
 	for _, v := range r.c.Views() {
@@ -36,7 +38,8 @@
 	return policy.View{}
 }
 
-// A number rings far beyond aim and patience of the set-up, and is answered.
+// A call that rings much longer than the set-up time and the caller's set-up limit must stay open and be answered, without
+// holding a slot of the far processor.
 func TestRingingCallIsAnsweredLongAfterSetUpTime(t *testing.T) {
 	r := newRingingRig(t)
 	cic := r.ring(1, "2001")
@@ -48,14 +51,14 @@
 	r.expectNone(clientAssoc)
 	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic})
 	r.expectOne(clientAssoc, isup.ANM)
-	r.advance(30 * sec) // the time for ringing must not end a call that stands
+	r.advance(30 * sec) // the ringing limit must not end an established call
 	r.expectNone(clientAssoc)
 	if record := r.records[0]; record.Outcome != Answered || record.SetUp != 0 || record.After != 15*sec || r.c.Ringing() != 0 || r.c.Waiting() != 0 {
 		t.Errorf("%+v, %d ringing", record, r.c.Ringing())
 	}
 }
 
-// ACM and ANM come in one read, and the module is told of both in turn.
+// ACM and ANM arrive in one read: both must be passed back and reported to the policy engine in turn.
 func TestACMAndANMInOneRead(t *testing.T) {
 	r := newRingingRig(t)
 	r.offerCall(1, "2001")
@@ -72,7 +75,7 @@
 	}
 }
 
-// The ACM is lost and CPG comes: whoever sends it has the address complete.
+// The ACM is lost and CPG arrives: a switch sends CPG only after ACM, so the call must count as ringing.
 func TestCPGWithoutACMCountsAsAlerting(t *testing.T) {
 	r := newRingingRig(t)
 	r.offerCall(1, "2001")
@@ -89,22 +92,22 @@
 	r.expectOne(clientAssoc, isup.ANM)
 }
 
-// T9 or the caller's patience ends a number that nobody answers: cause 19, no further attempt, and nothing held against the
-// exchange. The final answer leaves before the caller gives up.
+// A call that nobody answers must end at T9, or one answer margin before the caller gives up if that is earlier: with cause 19
+// and no further attempt. It must not count as load or unresponsiveness of the exchange.
 func TestUnansweredCallEndsWithNoAnswerCause(t *testing.T) {
 	for name, tc := range map[string]struct {
 		t9, ring, after time.Duration
-	}{"T9": {10 * sec, 30 * sec, 10 * sec}, "the caller": {90 * sec, 8 * sec, 8*sec - 50*ms}} {
+	}{"T9": {10 * sec, 30 * sec, 10 * sec}, "caller's limit": {90 * sec, 8 * sec, 8*sec - 50*ms}} {
 		r := newRingingRig(t, func(c *Config) { c.T9, c.Classes[0].Ring = tc.t9, tc.ring })
 		r.ring(1, "2001")
 		r.advance(tc.after - ms)
 		r.expectNone(far2)
 		r.advance(2 * ms)
 		if m := r.expectOne(far2, isup.REL); m.Cause != isup.CauseNoAnswer {
-			t.Errorf("%s: released with %d", name, m.Cause)
+			t.Errorf("%s: attempt released with cause %d", name, m.Cause)
 		}
 		if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseNoAnswer {
-			t.Errorf("%s: the caller is told %d", name, m.Cause)
+			t.Errorf("%s: caller released with cause %d", name, m.Cause)
 		}
 		if v := r.view(2); v.Silent || v.Load > 0 || r.c.Counters.NoAnswer != 1 || r.c.Counters.TimedOut != 0 {
 			t.Errorf("%s: %+v %+v", name, v, r.c.Counters)
@@ -112,7 +115,7 @@
 	}
 }
 
-// Hooks may have a number that does not answer tried by another way, but never while it still rings there.
+// Hooks may request a further attempt after a REL with no answer, but no attempt may start while the first one still rings.
 func TestHooksRetryAfterNoAnswerRelease(t *testing.T) {
 	stub, change := newStubHooks(t, "on attempt_end {\n\ttreat_as(34)\n}\n")
 	r := newRingingRig(t, change)
@@ -130,7 +133,7 @@
 	r.expectNone(clientAssoc)
 }
 
-// The caller leaves while it rings: the attempt is released and its end told.
+// The caller releases a ringing call: the attempt must be released, and all counts of open calls return to zero.
 func TestCallerReleaseWhileRinging(t *testing.T) {
 	r := newRingingRig(t)
 	cic := r.ring(1, "2001")
@@ -140,14 +143,14 @@
 	if m := r.expectOne(far2, isup.REL); m.CIC != cic || m.Cause != isup.CauseNormal {
 		t.Errorf("%+v", m)
 	}
-	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic}) // crossed
+	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic}) // crosses the REL
 	r.expectNone(clientAssoc)
 	if r.c.Open() != 0 || r.c.Ringing() != 0 || r.c.Waiting() != 0 {
 		t.Errorf("%d open, %d ringing, %d waiting", r.c.Open(), r.c.Ringing(), r.c.Waiting())
 	}
 }
 
-// A far exchange drains and this controller is drained while a call rings: it is not cut short.
+// A drain of the far exchange or of this controller must not end a ringing call.
 func TestRingingCallSurvivesDrain(t *testing.T) {
 	r := newRingingRig(t)
 	cic := r.ring(1, "2001")
@@ -160,13 +163,13 @@
 	r.expectOne(clientAssoc, isup.ANM)
 }
 
-// The association is lost, or the far switch starts anew, while a call rings: it has its final answer, and no further attempt
-// leaves within the guard.
+// The association is lost, or the far switch resets the circuit, while a call rings: the call must get its final answer once
+// its set-up time is over, and before that a further attempt only after the guard.
 func TestRingingCallEndsWhenSwitchIsLost(t *testing.T) {
 	for _, lost := range []string{"association", "reset"} {
 		r := newRingingRig(t)
 		cic := r.ring(1, "2001")
-		r.advance(5 * sec) // beyond the time of its set-up: nothing further is tried
+		r.advance(5 * sec) // beyond the set-up time: no further attempt is made
 		if lost == "association" {
 			r.c.AssocDown(r.now, far2)
 			r.flush()
@@ -174,7 +177,7 @@
 			r.receive(far2, 2, isup.Message{Type: isup.RSC, CIC: cic})
 		}
 		if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseTemporary {
-			t.Errorf("%s: the caller is told %d", lost, m.Cause)
+			t.Errorf("%s: caller released with cause %d", lost, m.Cause)
 		}
 		r.advance(sec)
 		r.expectNone(far3)
@@ -197,7 +200,8 @@
 	}
 }
 
-// Mass calling to a number that rings for ever: it takes circuits, and the processor's slots stay free for others.
+// Mass calling to a number that rings without an answer seizes circuits, but must leave the processor's slots free for other
+// calls.
 func TestRingingCallsHoldNoProcessorSlots(t *testing.T) {
 	r := newRig(t, 400)
 	for i := range 300 {
@@ -211,14 +215,14 @@
 		r.advance(10 * ms)
 	}
 	if v := r.view(2); r.c.Ringing() != 300 || v.SlotsHeld != 0 || v.Pending != 0 {
-		t.Fatalf("%d ring, %+v", r.c.Ringing(), v)
+		t.Fatalf("%d calls ring, %+v", r.c.Ringing(), v)
 	}
 	r.take(far2)
 	r.offerCall(301, "2999")
 	r.expectOne(far2, isup.IAM)
 }
 
-// The wait from REL to RLC is told as the switch's load, the lateness of the decision queue as the own.
+// The delay from REL to RLC must be reported as load of the far switch, the event-queue delay as load of the own exchange.
 func TestReleaseAndQueueDelaysAreReportedAsLoad(t *testing.T) {
 	r := newRingingRig(t)
 	for i := range 40 {
@@ -231,18 +235,18 @@
 		r.advance(100 * ms)
 	}
 	if v := r.view(2); v.Load < 0.9 {
-		t.Errorf("releases take 0.9 s, and the load reads %.2f", v.Load)
+		t.Errorf("load %.2f with a release delay of 0.9 s", v.Load)
 	}
 	for range 4 {
 		r.c.RecordQueueDelay(40*sec, 50)
 		r.advance(500 * ms)
 	}
 	if v := r.view(1); v.Load < 0.9 {
-		t.Errorf("events wait 0.8 s, and the own load reads %.2f", v.Load)
+		t.Errorf("own load %.2f with an event-queue delay of 0.8 s", v.Load)
 	}
 	r.c.Handle(r.now, ownAssoc, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 1}}, Congestion: 3})
 	r.advance(2 * sec)
 	if v := r.view(1); v.Load < 0.99 {
-		t.Errorf("the own switch is congested, and the own load reads %.2f", v.Load)
+		t.Errorf("own load %.2f with the own switch at congestion level 3", v.Load)
 	}
 }
--- a/controller/servers.go
+++ b/controller/servers.go
@@ -14,8 +14,8 @@
 
 // serverAssocUp adds an association of an application server, or gives an existing one the traffic again.
 func (c *Core) serverAssocUp(assoc *association) {
-	if old := c.assocs[assoc.id]; old != nil {
-		assoc = old
+	if known := c.assocs[assoc.id]; known != nil {
+		assoc = known
 	}
 	server := c.servers[assoc.peer.Server]
 	if server == nil {
--- a/controller/servers_test.go
+++ b/controller/servers_test.go
@@ -13,6 +13,7 @@
 	asp2 AssocID = 202
 )
 
+// newServerRig makes a rig with a client that has two associations.
 func newServerRig(t *testing.T, mode uint32) *rig {
 	r := newRig(t, 20, func(c *Config) { c.Recovery, c.RecoveryOctets = 2*sec, 4096 })
 	r.joinServer(asp1, mode)
@@ -30,7 +31,7 @@
 	r.flush()
 }
 
-// Calls outlive the loss of one association, and go on over the other in both directions.
+// A call must survive the loss of one of its client's associations and continue over the other one in both directions.
 func TestCallContinuesOverOtherAssociation(t *testing.T) {
 	r := newServerRig(t, m3ua.TrafficLoadshare)
 	r.receive(asp1, 900, iam(1, "2001"))
@@ -49,7 +50,8 @@
 	}
 }
 
-// All associations are lost: answers wait for T(r) and go to the first that is back, in their order; one answer per call.
+// All associations of a client are lost: messages for it must be queued during T(r) and sent in order on the first association
+// that comes up, one answer per call.
 func TestMessagesQueuedDuringRecoveryAreDelivered(t *testing.T) {
 	r := newServerRig(t, m3ua.TrafficLoadshare)
 	r.receive(asp1, 900, iam(1, "2001"))
@@ -67,14 +69,14 @@
 	if m := r.take(203); len(m) != 3 || m[0].Type != isup.ACM || m[1].Type != isup.ANM || m[2].Type != isup.REL || m[2].CIC != 2 {
 		t.Fatalf("%v", describe(m))
 	}
-	r.advance(5 * sec) // T(r) is over and must not end them
+	r.advance(5 * sec) // T(r) must not end the calls any more
 	if r.c.Open() != 1 {
-		t.Errorf("%d open", r.c.Open())
+		t.Errorf("%d calls open", r.c.Open())
 	}
 	r.expectNone(far2)
 }
 
-// Nobody comes within T(r): the calls are over, as with a client of one association.
+// No association comes up within T(r): the client's calls must end then, and not before.
 func TestCallsEndWhenRecoveryTimerExpires(t *testing.T) {
 	r := newServerRig(t, m3ua.TrafficLoadshare)
 	r.receive(asp1, 900, iam(1, "2001"))
@@ -99,11 +101,12 @@
 	r.receive(203, 900, iam(1, "2001"))
 	r.take(far2)
 	if r.c.Open() != 1 {
-		t.Error("its next call is not taken")
+		t.Error("the next call of the client is not accepted")
 	}
 }
 
-// More waits than may: the client's calls end at once, and nothing is sent in part.
+// More messages than RecoveryOctets are queued during T(r): the client's calls must end at once, and none of the queued
+// messages may be sent later.
 func TestRecoveryQueueOverflowEndsCalls(t *testing.T) {
 	r := newRig(t, 20, func(c *Config) { c.Recovery, c.RecoveryOctets = 10*sec, 100 })
 	r.joinServer(asp1, m3ua.TrafficOverride)
@@ -124,8 +127,8 @@
 	r.expectNone(asp2)
 }
 
-// What was queued on the lost association and never handed to its connection comes first on the other one; a full queue is a
-// loss too, and its frame goes on.
+// Frames that were queued on a lost association but not passed to its connection must be sent first on the other one. A full
+// send queue counts as a loss, and the frame that it refused must be sent too.
 func TestUnsentFramesMoveToOtherAssociation(t *testing.T) {
 	r := newServerRig(t, m3ua.TrafficLoadshare)
 	r.unsent = map[AssocID][]byte{}
@@ -140,14 +143,14 @@
 		t.Fatalf("%v", describe(m))
 	}
 	if r.closed[asp1] == "" {
-		t.Error("the full one is not closed")
+		t.Error("the association with the full queue is not closed")
 	}
 	r.assocDown(asp1)
 	r.expectNone(asp2)
 }
 
-// Override: the later association has the traffic, the earlier one is told so, its messages are dropped, and it can have the
-// traffic again by asking. Calls stand all the while.
+// Override mode: the later association takes over the traffic, the earlier one receives NTFY and its messages are dropped until
+// it becomes active again. The calls must survive both changes.
 func TestOverrideMovesTrafficAndKeepsCalls(t *testing.T) {
 	r := newRig(t, 20, func(c *Config) { c.Recovery, c.RecoveryOctets = 2*sec, 4096 })
 	r.joinServer(asp1, m3ua.TrafficOverride)
@@ -155,7 +158,7 @@
 	cic := r.expectOne(far2, isup.IAM).CIC
 	r.joinServer(asp2, m3ua.TrafficOverride)
 	if m := r.management[asp1]; len(m) != 1 || m[0].Kind != m3ua.NTFY || m[0].StatusType != m3ua.StatusOther || m[0].StatusInfo != m3ua.InfoAlternateASP {
-		t.Errorf("the earlier one is told %+v", m)
+		t.Errorf("earlier association received %+v", m)
 	}
 	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
 	r.expectOne(asp2, isup.CON)
@@ -167,11 +170,11 @@
 	r.expectOne(far2, isup.REL)
 }
 
-// Broadcast: every association has each message, and a call is one call.
+// Broadcast mode: every association must receive each message, and an IAM that arrives on both must make only one call.
 func TestBroadcastSendsToAllAssociations(t *testing.T) {
 	r := newServerRig(t, m3ua.TrafficBroadcast)
 	r.receive(asp1, 900, iam(1, "2001"))
-	r.receive(asp2, 900, iam(1, "2001")) // the same IAM again is no second call
+	r.receive(asp2, 900, iam(1, "2001")) // the same IAM: no second call
 	cic := r.expectOne(far2, isup.IAM).CIC
 	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
 	r.expectOne(asp1, isup.CON)
@@ -179,6 +182,6 @@
 	r.assocDown(asp2)
 	r.advance(10 * time.Second)
 	if r.c.Open() != 1 {
-		t.Errorf("%d open", r.c.Open())
+		t.Errorf("%d calls open", r.c.Open())
 	}
 }
