--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -12,61 +12,61 @@
 // The same cases at every run; other seeds by hand: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
-// offer lets clients ask at their rates for a while, in steps of a millisecond, and counts who gets in each second.
-func offer(d *Limiter, rates []float64, span time.Duration, hold time.Duration) []float64 {
+// offerCalls lets clients ask at their rates for a while, in steps of a millisecond, and counts who gets in each second.
+func offerCalls(limiter *Limiter, rates []float64, span time.Duration, hold time.Duration) []float64 {
 	clients := make([]*Client, len(rates))
 	due := make([]float64, len(rates))
-	in := make([]float64, len(rates))
+	admitted := make([]float64, len(rates))
 	type end struct {
 		at time.Duration
 		c  *Client
 	}
 	var ends []end
 	for i := range rates {
-		clients[i] = d.AddClient(0)
+		clients[i] = limiter.AddClient(0)
 	}
 	for now := time.Millisecond; now <= span; now += time.Millisecond {
 		for len(ends) > 0 && ends[0].at <= now {
-			d.Done(ends[0].c)
+			limiter.Done(ends[0].c)
 			ends = ends[1:]
 		}
 		for i, r := range rates {
 			for due[i] += r / 1000; due[i] >= 1; due[i]-- {
-				if d.Admit(clients[i], now) == Admitted {
+				if limiter.Admit(clients[i], now) == Admitted {
 					if now > span/2 { // once it has settled
-						in[i]++
+						admitted[i]++
 					}
 					ends = append(ends, end{now + hold, clients[i]})
 				}
 			}
 		}
 	}
-	for i := range in {
-		in[i] /= span.Seconds() / 2
+	for i := range admitted {
+		admitted[i] /= span.Seconds() / 2
 	}
-	return in
+	return admitted
 }
 
 // One client floods at ten times its share; nine others get all that they ask for.
 func TestFloodCostsItself(t *testing.T) {
 	rates := []float64{1000, 100, 100, 100, 100, 100, 100, 100, 100, 100}
-	in := offer(New(Config{All: Limits{Rate: 1000}}), rates, 24*time.Second, time.Second)
+	admitted := offerCalls(New(Config{All: Limits{Rate: 1000}}), rates, 24*time.Second, time.Second)
 	sum := 0.0
-	for i, v := range in {
+	for i, v := range admitted {
 		sum += v
 		if i > 0 && v < 97 {
 			t.Errorf("client %d gets %.0f of 100", i, v)
 		}
 	}
-	if sum > 1050 || in[0] < 60 || in[0] > 140 {
-		t.Errorf("%.0f in all, %.0f of the flood", sum, in[0])
+	if sum > 1050 || admitted[0] < 60 || admitted[0] > 140 {
+		t.Errorf("%.0f in all, %.0f of the flood", sum, admitted[0])
 	}
 }
 
 func TestOwnLimits(t *testing.T) {
-	in := offer(New(Config{Client: Limits{Rate: 50, Burst: 10}}), []float64{500, 20}, 10*time.Second, 0)
-	if in[0] < 48 || in[0] > 52 || in[1] < 19.5 {
-		t.Errorf("%.1f", in)
+	admitted := offerCalls(New(Config{Client: Limits{Rate: 50, Burst: 10}}), []float64{500, 20}, 10*time.Second, 0)
+	if admitted[0] < 48 || admitted[0] > 52 || admitted[1] < 19.5 {
+		t.Errorf("%.1f", admitted)
 	}
 	d := New(Config{Client: Limits{Open: 5}})
 	c := d.AddClient(0)
@@ -105,7 +105,7 @@
 	d := New(Config{Client: Limits{Rate: 100, Burst: 10}})
 	c := d.AddClient(0)
 	now := time.Duration(0)
-	ask := func(rate float64, span time.Duration) {
+	admitAt := func(rate float64, span time.Duration) {
 		for end := now + span; now < end; {
 			now += time.Duration(float64(time.Second) / rate)
 			d.Admit(c, now)
@@ -115,7 +115,7 @@
 		rate float64
 		want int
 	}{{90, 0}, {130, 1}, {200, 2}, {1000, 3}} {
-		ask(x.rate, 20*time.Second)
+		admitAt(x.rate, 20*time.Second)
 		if l, _ := d.Level(c, now); l != x.want {
 			t.Errorf("at %v a second level %d, want %d", x.rate, l, x.want)
 		}
@@ -134,41 +134,41 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rates := rapid.SliceOfN(rapid.Float64Range(1, 400), 1, 8).Draw(t, "rates")
 		limit := rapid.Float64Range(50, 800).Draw(t, "limit")
-		in := offer(New(Config{All: Limits{Rate: limit}}), rates, 24*time.Second, 0)
+		admitted := offerCalls(New(Config{All: Limits{Rate: limit}}), rates, 24*time.Second, 0)
 		total, got := 0.0, 0.0
 		for i := range rates {
 			total += rates[i]
-			got += in[i]
+			got += admitted[i]
 		}
 		if got > 1.1*limit+2 {
-			t.Fatalf("%.0f of %.0f come in: %v of %v", got, limit, in, rates)
+			t.Fatalf("%.0f of %.0f come in: %v of %v", got, limit, admitted, rates)
 		}
 		if want := min(total, limit); got < 0.85*want-2 {
-			t.Fatalf("%.0f come in where %.0f could: %v of %v", got, want, in, rates)
+			t.Fatalf("%.0f come in where %.0f could: %v of %v", got, want, admitted, rates)
 		}
 		// The fair part by water filling.
-		share, left, open := math.Inf(1), limit, append([]float64(nil), rates...)
+		share, left, unfilled := math.Inf(1), limit, append([]float64(nil), rates...)
 		if total > limit {
 			for {
-				share = left / float64(len(open))
+				share = left / float64(len(unfilled))
 				var rest []float64
 				l := left
-				for _, r := range open {
+				for _, r := range unfilled {
 					if r <= share {
 						l -= r
 					} else {
 						rest = append(rest, r)
 					}
 				}
-				if len(rest) == len(open) || len(rest) == 0 {
+				if len(rest) == len(unfilled) || len(rest) == 0 {
 					break
 				}
-				open, left = rest, l
+				unfilled, left = rest, l
 			}
 		}
 		for i, r := range rates {
-			if want := min(r, share); in[i] < 0.85*want-2 {
-				t.Fatalf("client %d gets %.1f of its fair %.1f: %v of %v, limit %.0f", i, in[i], want, in, rates, limit)
+			if want := min(r, share); admitted[i] < 0.85*want-2 {
+				t.Fatalf("client %d gets %.1f of its fair %.1f: %v of %v, limit %.0f", i, admitted[i], want, admitted, rates, limit)
 			}
 		}
 	})
--- a/daemon/hooks.go
+++ b/daemon/hooks.go
@@ -164,7 +164,7 @@
 			continue
 		}
 		var a hooks.Advice
-		r.Due(s, &ev, h.d.now(), &a)
+		r.RunDue(s, &ev, h.d.now(), &a)
 		h.noted(&a)
 		h.logged(script.Every, &a)
 	}
--- a/hooks/hooks_test.go
+++ b/hooks/hooks_test.go
@@ -12,7 +12,7 @@
 
 var names = Names{Classes: []string{"map", "storm"}, Tenants: []string{"city"}}
 
-func set(t testing.TB, earlier *Set, texts ...string) *Set {
+func compileSet(t testing.TB, earlier *Set, texts ...string) *Set {
 	t.Helper()
 	var src []Source
 	for i, x := range texts {
@@ -25,34 +25,34 @@
 	return s
 }
 
-var call = script.CallEvent(script.Call{Called: "820112345", Calling: "9012", Class: "map", Category: 10, To: 102})
+var testCall = script.CallEvent(script.Call{Called: "820112345", Calling: "9012", Class: "map", Category: 10, To: 102})
 
-func advise(s *Set, kind string, now time.Duration) Advice {
+func runHooks(s *Set, kind string, now time.Duration) Advice {
 	var a Advice
-	NewRunner().Run(s, kind, &call, now, &a)
+	NewRunner().Run(s, kind, &testCall, now, &a)
 	return a
 }
 
 // What hooks ask for is merged: the first word stands, exclusions add up, and a hook that fails asks for nothing.
 func TestMerge(t *testing.T) {
-	s := set(t, nil,
+	s := compileSet(t, nil,
 		"on arrival {\n\tset_class(\"storm\")\n\ttag(\"a\")\n}\non route {\n\texclude(1)\n\texclude(2)\n}\n",
 		"on arrival {\n\tset_class(\"map\")\n\tset_tenant(\"city\")\n\ttag(\"b\")\n}\non route {\n\texclude(2)\n\texclude(3)\n}\n",
 		"on arrival {\n\trefuse(21)\n\tfail \"no\"\n}\n",
 		"on arrival {\n\tset_class(\"moon\")\n}\n")
-	a := advise(s, script.Arrival, 1)
+	a := runHooks(s, script.Arrival, 1)
 	if a.Class != "storm" || a.Tenant != "city" || fmt.Sprint(a.Tags) != "[a b]" || a.Refuse != 0 || len(a.Failed) != 2 {
 		t.Errorf("%+v", a)
 	}
-	if a := advise(s, script.Route, 1); fmt.Sprint(a.Exclude) != "[1 2 3]" {
+	if a := runHooks(s, script.Route, 1); fmt.Sprint(a.Exclude) != "[1 2 3]" {
 		t.Errorf("%+v", a)
 	}
 }
 
 func TestFailureRefuses(t *testing.T) {
-	s := set(t, nil, "@failure(refuse)\non arrival {\n\tfail \"no\"\n}\n")
+	s := compileSet(t, nil, "@failure(refuse)\non arrival {\n\tfail \"no\"\n}\n")
 	for i := range 20 { // by its failure, and when it is out
-		if a := advise(s, script.Arrival, time.Duration(i)*time.Millisecond); a.Refuse != 42 {
+		if a := runHooks(s, script.Arrival, time.Duration(i)*time.Millisecond); a.Refuse != 42 {
 			t.Fatalf("%d: %+v", i, a)
 		}
 	}
@@ -63,21 +63,21 @@
 
 // A hook that fails is taken out, tried again after a while, out for twice as long if it fails again, and put back when it works.
 func TestBreaker(t *testing.T) {
-	s := set(t, nil, "var bad = true\nevery 1s {\n\tbad = system.open > 0\n}\non arrival {\n\tif bad {\n\t\tfail \"bad\"\n\t}\n}\n")
+	s := compileSet(t, nil, "var bad = true\nevery 1s {\n\tbad = system.open > 0\n}\non arrival {\n\tif bad {\n\t\tfail \"bad\"\n\t}\n}\n")
 	now := time.Hour
 	runs := func() uint64 { return s.byKind[script.Arrival][0].stats.Runs }
 	var notes []string
 	for range 100 {
-		notes = append(notes, advise(s, script.Arrival, now).Notes...)
+		notes = append(notes, runHooks(s, script.Arrival, now).Notes...)
 	}
-	if runs() != failuresInARow || len(notes) != 1 {
+	if runs() != maxConsecutiveFailures || len(notes) != 1 {
 		t.Fatalf("%d runs, %v", runs(), notes)
 	}
 	for _, c := range []struct {
 		after time.Duration
 		runs  uint64
 	}{{999 * time.Millisecond, 5}, {time.Second, 6}, {1900 * time.Millisecond, 6}, {3 * time.Second, 7}, {6 * time.Second, 7}, {7 * time.Second, 8}} {
-		advise(s, script.Arrival, now+c.after)
+		runHooks(s, script.Arrival, now+c.after)
 		if runs() != c.runs {
 			t.Errorf("after %v: %d runs, want %d", c.after, runs(), c.runs)
 		}
@@ -85,9 +85,9 @@
 	var a Advice
 	r := NewRunner()
 	ev := script.EveryEvent(0, 0, 0, 0, 0, 0)
-	r.Due(s, &ev, now, &a)
-	r.Due(s, &ev, now+time.Minute, &a)
-	if a := advise(s, script.Arrival, now+time.Minute); len(a.Notes) != 1 {
+	r.RunDue(s, &ev, now, &a)
+	r.RunDue(s, &ev, now+time.Minute, &a)
+	if a := runHooks(s, script.Arrival, now+time.Minute); len(a.Notes) != 1 {
 		t.Errorf("not put back: %+v", a)
 	}
 	if v := s.Views(now + time.Minute); v[1].State != "in use" && v[0].State != "in use" {
@@ -104,20 +104,20 @@
 		var b breaker
 		for i := range 200 {
 			if b.allow(time.Hour) {
-				b.done(time.Hour, i%c.every == 0, 1)
+				b.recordRun(time.Hour, i%c.every == 0, 1)
 			}
 		}
-		if (b.span > 0) != c.out {
-			t.Errorf("failing each %d: out %v", c.every, b.span > 0)
+		if (b.openSpan > 0) != c.out {
+			t.Errorf("failing each %d: out %v", c.every, b.openSpan > 0)
 		}
 	}
 	var b breaker
 	for i := range 200 {
 		if b.allow(time.Hour) {
-			b.done(time.Hour, i%4 != 0, 1)
+			b.recordRun(time.Hour, i%4 != 0, 1)
 		}
 	}
-	if b.span == 0 {
+	if b.openSpan == 0 {
 		t.Error("failing three times of four: still in use")
 	}
 }
@@ -127,7 +127,7 @@
 	var b breaker
 	n := 0
 	for b.allow(time.Hour) {
-		b.done(time.Hour, false, 900_000)
+		b.recordRun(time.Hour, false, 900_000)
 		n++
 	}
 	if n < 20 || n > 25 {
@@ -145,22 +145,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b Registry
-	one := set(t, nil, text)
+	var registry Registry
+	one := compileSet(t, nil, text)
 	if err := one.Check(ex); err != nil {
 		t.Fatal(err)
 	}
-	b.Activate(one)
-	advise(one, script.Arrival, 1)
-	two := set(t, one, strings.Replace(text, "8201*", "8202*", 1))
+	registry.Activate(one)
+	runHooks(one, script.Arrival, 1)
+	two := compileSet(t, one, strings.Replace(text, "8201*", "8202*", 1))
 	if err := two.Check(ex); err == nil || !strings.Contains(err.Error(), "example 1 (arrival)") {
 		t.Errorf("an example that comes out otherwise: %v", err)
 	}
-	if a := advise(two, script.Arrival, 1); fmt.Sprint(a.Tags) != "[again]" {
+	if a := runHooks(two, script.Arrival, 1); fmt.Sprint(a.Tags) != "[again]" {
 		t.Errorf("the counter does not go on: %+v", a) // and the trial has not touched it
 	}
-	b.Activate(two)
-	if b.Live().Version != 2 || b.RollBack() != nil || b.Live() != one || b.RollBack() == nil {
+	registry.Activate(two)
+	if registry.Live().Version != 2 || registry.RollBack() != nil || registry.Live() != one || registry.RollBack() == nil {
 		t.Error("rolling back")
 	}
 	if _, err := Compile([]Source{{"x.ug", "on arrival {\n\trefus(1)\n}"}}, names, one); err == nil || !strings.HasPrefix(err.Error(), "x.ug:2:2: ") {
@@ -178,28 +178,28 @@
 }
 
 func TestShadow(t *testing.T) {
-	var b Registry
-	live, shadow := set(t, nil, "on arrival {\n\tset_class(\"map\")\n}\n"), set(t, nil, "on arrival {\n\tset_class(\"storm\")\n}\n")
-	b.Activate(live)
-	b.SetShadow(shadow)
-	x, y := advise(live, script.Arrival, 1), advise(shadow, script.Arrival, 1)
-	b.AddComparison(script.Arrival, Diff(&x, &y))
-	b.AddComparison(script.Arrival, Diff(&x, &x))
-	if r := strings.Join(b.Report(1), "\n"); !strings.Contains(r, "2 runs, 1 differ") || !strings.Contains(r, "Class:storm") {
+	var registry Registry
+	live, shadow := compileSet(t, nil, "on arrival {\n\tset_class(\"map\")\n}\n"), compileSet(t, nil, "on arrival {\n\tset_class(\"storm\")\n}\n")
+	registry.Activate(live)
+	registry.SetShadow(shadow)
+	x, y := runHooks(live, script.Arrival, 1), runHooks(shadow, script.Arrival, 1)
+	registry.AddComparison(script.Arrival, Diff(&x, &y))
+	registry.AddComparison(script.Arrival, Diff(&x, &x))
+	if r := strings.Join(registry.Report(1), "\n"); !strings.Contains(r, "2 runs, 1 differ") || !strings.Contains(r, "Class:storm") {
 		t.Error(r)
 	}
 }
 
 // Ticks: each in its time, once however the clock jumps.
 func TestEvery(t *testing.T) {
-	s := set(t, nil, "counter n\nevery 5s {\n\tn.add(1)\n}\nevery 7s {\n\tn.add(100)\n}\n")
+	s := compileSet(t, nil, "counter n\nevery 5s {\n\tn.add(1)\n}\nevery 7s {\n\tn.add(100)\n}\n")
 	r := NewRunner()
 	var a Advice
 	ev := script.EveryEvent(0, 0, 0, 0, 0, 0)
 	for now := time.Hour; now <= time.Hour+35*time.Second; now += time.Second {
-		r.Due(s, &ev, now, &a)
+		r.RunDue(s, &ev, now, &a)
 	}
-	r.Due(s, &ev, 100*time.Hour, &a)
+	r.RunDue(s, &ev, 100*time.Hour, &a)
 	var res script.Result
 	p, err := script.Compile("f0.ug", "counter n\nevery 5s {\n\tlog(\"n\", n.value())\n}\n")
 	if err != nil {
--- a/hooks/run.go
+++ b/hooks/run.go
@@ -26,26 +26,26 @@
 
 // Runner runs hooks; each worker has its own.
 type Runner struct {
-	vm  *script.VM
-	res script.Result
+	vm     *script.VM
+	result script.Result
 }
 
 // NewRunner makes a Runner.
 func NewRunner() *Runner { return &Runner{vm: script.NewVM()} }
 
-// lock guards breakers and totals, which workers share. It is held for a few instructions, never while a hook runs.
-var lock sync.Mutex
+// breakersMu guards breakers and totals, which workers share. It is held for a few instructions, never while a hook runs.
+var breakersMu sync.Mutex
 
 // Run runs all hooks of a kind on an event, in the order of their files, and adds what they ask for to a. What a hook asked
 // for before it failed does not count.
 func (r *Runner) Run(s *Set, kind string, ev *script.Event, now time.Duration, a *Advice) {
 	for _, h := range s.byKind[kind] {
-		r.guarded(h, ev, now, a)
+		r.runGuarded(h, ev, now, a)
 	}
 }
 
-// Due runs every hook whose time has come, and returns when the next one's does; 0: there is none.
-func (r *Runner) Due(s *Set, ev *script.Event, now time.Duration, a *Advice) (next time.Duration) {
+// RunDue runs every hook whose time has come, and returns when the next one's does; 0: there is none.
+func (r *Runner) RunDue(s *Set, ev *script.Event, now time.Duration, a *Advice) (next time.Duration) {
 	for _, h := range s.byKind[script.Every] {
 		if h.nextRun == 0 {
 			h.nextRun = now + h.every
@@ -53,7 +53,7 @@
 		if now >= h.nextRun {
 			// A clock that jumps makes no hook run twice for what it missed.
 			h.nextRun = now + h.every
-			r.guarded(h, ev, now, a)
+			r.runGuarded(h, ev, now, a)
 		}
 		if next == 0 || h.nextRun < next {
 			next = h.nextRun
@@ -62,31 +62,31 @@
 	return next
 }
 
-// guarded runs one hook under its breaker.
-func (r *Runner) guarded(h *hook, ev *script.Event, now time.Duration, a *Advice) {
-	lock.Lock()
+// runGuarded runs one hook under its breaker.
+func (r *Runner) runGuarded(h *hook, ev *script.Event, now time.Duration, a *Advice) {
+	breakersMu.Lock()
 	allowed := h.breaker.allow(now)
 	if !allowed {
 		h.stats.Skipped++
 	}
-	lock.Unlock()
+	breakersMu.Unlock()
 	if !allowed {
 		if h.refuse && a.Refuse == 0 { // what must not go on without its hook does not
 			a.Refuse = 42
 		}
 		return
 	}
-	err := r.one(h, ev, now, a)
-	lock.Lock()
+	err := r.runOne(h, ev, now, a)
+	breakersMu.Lock()
 	h.stats.Runs++
-	h.stats.Steps += uint64(r.res.Steps)
+	h.stats.Steps += uint64(r.result.Steps)
 	if err != nil {
 		h.stats.Failures++
 		h.stats.LastError = err.Error()
 	}
-	changed := h.breaker.done(now, err != nil, r.res.Steps)
+	changed := h.breaker.recordRun(now, err != nil, r.result.Steps)
 	state := h.breaker.state(now)
-	lock.Unlock()
+	breakersMu.Unlock()
 	if err != nil {
 		a.Failed = append(a.Failed, h.name)
 		if h.refuse && a.Refuse == 0 {
@@ -98,14 +98,14 @@
 	}
 }
 
-// one runs a hook and merges what it asks for.
-func (r *Runner) one(h *hook, ev *script.Event, now time.Duration, a *Advice) error {
-	r.res.Reset()
+// runOne runs a hook and merges what it asks for.
+func (r *Runner) runOne(h *hook, ev *script.Event, now time.Duration, a *Advice) error {
+	r.result.Reset()
 	s := h.set
-	if err := r.vm.Run(s.programs[h.program], h.index, ev, s.states[h.program], now, &r.res); err != nil {
+	if err := r.vm.Run(s.programs[h.program], h.index, ev, s.states[h.program], now, &r.result); err != nil {
 		return err
 	}
-	return s.merge(h, &r.res, a)
+	return s.merge(h, &r.result, a)
 }
 
 // merge turns what one hook asked for into advice. It is the one place that does, and asks again what the kind of hook may
@@ -117,7 +117,7 @@
 	if res.Tenant != "" && !slices.Contains(s.names.Tenants, res.Tenant) {
 		return fmt.Errorf("%s: there is no tenant %q", h.name, res.Tenant)
 	}
-	first := func(to *string, v string) {
+	setIfEmpty := func(to *string, v string) {
 		if *to == "" {
 			*to = v
 		}
@@ -126,9 +126,9 @@
 		if a.Refuse == 0 {
 			a.Refuse = res.Refuse
 		}
-		first(&a.Class, res.Class)
-		first(&a.Tenant, res.Tenant)
-		first(&a.Rewrite, res.Rewrite)
+		setIfEmpty(&a.Class, res.Class)
+		setIfEmpty(&a.Tenant, res.Tenant)
+		setIfEmpty(&a.Rewrite, res.Rewrite)
 	}
 	if h.kind == script.Route {
 		for _, x := range res.Exclude {
@@ -155,10 +155,10 @@
 
 // CountTimeout notes that a call has gone on without an answer of the hooks of a kind.
 func (s *Set) CountTimeout(kind string) {
-	lock.Lock()
-	defer lock.Unlock()
+	breakersMu.Lock()
+	defer breakersMu.Unlock()
 	for _, h := range s.byKind[kind] {
-		h.stats.Late++
+		h.stats.Timeouts++
 	}
 }
 
@@ -169,15 +169,15 @@
 
 // Diff tells in a line how the advice of a shadow set differs from that of the live one; empty: it does not.
 func Diff(live, shadow *Advice) string {
-	type said struct {
+	type summary struct {
 		Refuse                 int
 		Class, Tenant, Rewrite string
 		Exclude                []int
 		Treat                  int
 		Failed                 int
 	}
-	a := said{live.Refuse, live.Class, live.Tenant, live.Rewrite, live.Exclude, live.TreatAs, len(live.Failed)}
-	b := said{shadow.Refuse, shadow.Class, shadow.Tenant, shadow.Rewrite, shadow.Exclude, shadow.TreatAs, len(shadow.Failed)}
+	a := summary{live.Refuse, live.Class, live.Tenant, live.Rewrite, live.Exclude, live.TreatAs, len(live.Failed)}
+	b := summary{shadow.Refuse, shadow.Class, shadow.Tenant, shadow.Rewrite, shadow.Exclude, shadow.TreatAs, len(shadow.Failed)}
 	if x, y := fmt.Sprintf("%+v", a), fmt.Sprintf("%+v", b); x != y {
 		return fmt.Sprintf("live %s, shadow %s", x, y)
 	}
--- a/hooks/set.go
+++ b/hooks/set.go
@@ -79,9 +79,9 @@
 
 // Stats are a hook's totals.
 type Stats struct {
-	Runs, Failures, Skipped, Late uint64
-	Steps                         uint64
-	LastError                     string
+	Runs, Failures, Skipped, Timeouts uint64
+	Steps                             uint64
+	LastError                         string
 }
 
 // Compile makes a set of sources; earlier is the set that it may replace, whose state goes on, or nil. All faults are told
@@ -102,19 +102,19 @@
 			errs = append(errs, e...)
 			continue
 		}
-		var from *script.State
-		var old *script.Program
+		var oldState *script.State
+		var oldProgram *script.Program
 		if earlier != nil {
 			if i := slices.IndexFunc(earlier.programs, func(q *script.Program) bool { return q.Name == p.Name }); i >= 0 {
-				from, old = earlier.states[i], earlier.programs[i]
+				oldState, oldProgram = earlier.states[i], earlier.programs[i]
 			}
 		}
 		s.programs = append(s.programs, p)
-		s.states = append(s.states, p.NewState(from, old))
+		s.states = append(s.states, p.NewState(oldState, oldProgram))
 		for i, h := range p.Hooks {
-			k := &hook{set: s, program: len(s.programs) - 1, index: i, kind: h.Kind, name: fmt.Sprintf("%s:%d", p.Name, h.Line), refuse: h.Refuse, every: h.Every}
-			s.hooks = append(s.hooks, k)
-			s.byKind[h.Kind] = append(s.byKind[h.Kind], k)
+			compiled := &hook{set: s, program: len(s.programs) - 1, index: i, kind: h.Kind, name: fmt.Sprintf("%s:%d", p.Name, h.Line), refuse: h.Refuse, every: h.Every}
+			s.hooks = append(s.hooks, compiled)
+			s.byKind[h.Kind] = append(s.byKind[h.Kind], compiled)
 		}
 	}
 	if len(errs) > 0 {
@@ -137,15 +137,15 @@
 
 // Check runs the examples on a state of their own and names the first that comes out otherwise.
 func (s *Set) Check(examples []Example) error {
-	trial := &Set{Version: s.Version, programs: s.programs, byKind: map[string][]*hook{}, names: s.names}
+	scratch := &Set{Version: s.Version, programs: s.programs, byKind: map[string][]*hook{}, names: s.names}
 	for _, p := range s.programs {
-		trial.states = append(trial.states, p.NewState(nil, nil))
+		scratch.states = append(scratch.states, p.NewState(nil, nil))
 	}
 	for _, h := range s.hooks {
-		k := *h
-		k.set, k.breaker, k.stats = trial, breaker{}, Stats{}
-		trial.hooks = append(trial.hooks, &k)
-		trial.byKind[k.kind] = append(trial.byKind[k.kind], &k)
+		scratchHook := *h
+		scratchHook.set, scratchHook.breaker, scratchHook.stats = scratch, breaker{}, Stats{}
+		scratch.hooks = append(scratch.hooks, &scratchHook)
+		scratch.byKind[scratchHook.kind] = append(scratch.byKind[scratchHook.kind], &scratchHook)
 	}
 	r := NewRunner()
 	for i, x := range examples {
@@ -156,8 +156,8 @@
 		}
 		var failed error
 		var a Advice
-		for _, h := range trial.byKind[x.Hook] {
-			if err := r.one(h, &ev, 0, &a); err != nil {
+		for _, h := range scratch.byKind[x.Hook] {
+			if err := r.runOne(h, &ev, 0, &a); err != nil {
 				failed = err
 			}
 		}
@@ -194,8 +194,8 @@
 
 // Views are all hooks of a set, in the order of its files.
 func (s *Set) Views(now time.Duration) []View {
-	lock.Lock()
-	defer lock.Unlock()
+	breakersMu.Lock()
+	defer breakersMu.Unlock()
 	var out []View
 	for _, h := range s.hooks {
 		out = append(out, View{h.name, h.kind, h.breaker.state(now), h.stats})
--- a/numbering/table.go
+++ b/numbering/table.go
@@ -13,9 +13,9 @@
 }
 
 type node[V any] struct {
-	child [16]int32 // 0: none, since the root is nobody's child
-	has   bool
-	value V
+	child    [16]int32 // 0: none, since the root is nobody's child
+	hasValue bool
+	value    V
 }
 
 // Add enters a prefix, which must be new; the empty one matches every number.
@@ -27,19 +27,19 @@
 	if len(t.nodes) == 0 {
 		t.nodes = make([]node[V], 1)
 	}
-	at := int32(0)
+	index := int32(0)
 	for i := range n.Len() {
 		d := n.Digit(i)
-		if t.nodes[at].child[d] == 0 {
+		if t.nodes[index].child[d] == 0 {
 			t.nodes = append(t.nodes, node[V]{})
-			t.nodes[at].child[d] = int32(len(t.nodes) - 1)
+			t.nodes[index].child[d] = int32(len(t.nodes) - 1)
 		}
-		at = t.nodes[at].child[d]
+		index = t.nodes[index].child[d]
 	}
-	if t.nodes[at].has {
+	if t.nodes[index].hasValue {
 		return fmt.Errorf("prefix %q is given twice", prefix)
 	}
-	t.nodes[at].has, t.nodes[at].value = true, v
+	t.nodes[index].hasValue, t.nodes[index].value = true, v
 	return nil
 }
 
@@ -48,15 +48,15 @@
 	if len(t.nodes) == 0 {
 		return v, false
 	}
-	at := int32(0)
+	index := int32(0)
 	for i := 0; ; i++ {
-		if x := &t.nodes[at]; x.has {
+		if x := &t.nodes[index]; x.hasValue {
 			v, ok = x.value, true
 		}
 		if i == n.Len() {
 			return v, ok
 		}
-		if at = t.nodes[at].child[n.Digit(i)]; at == 0 {
+		if index = t.nodes[index].child[n.Digit(i)]; index == 0 {
 			return v, ok
 		}
 	}
--- a/numbering/table_test.go
+++ b/numbering/table_test.go
@@ -16,16 +16,16 @@
 func TestLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[string]
-		set := map[string]bool{}
+		added := map[string]bool{}
 		for _, p := range rapid.SliceOf(rapid.StringMatching(`[0-3]{0,5}`)).Draw(t, "prefixes") {
-			if err := table.Add(p, p); (err != nil) != set[p] {
+			if err := table.Add(p, p); (err != nil) != added[p] {
 				t.Fatalf("adding %q: %v", p, err)
 			}
-			set[p] = true
+			added[p] = true
 		}
 		number := rapid.StringMatching(`[0-3]{0,8}`).Draw(t, "number")
 		want, found := "", false
-		for p := range set {
+		for p := range added {
 			if strings.HasPrefix(number, p) && (!found || len(p) > len(want)) {
 				want, found = p, true
 			}
--- a/timer/wheel.go
+++ b/timer/wheel.go
@@ -24,14 +24,14 @@
 // Wheel holds timers with a payload each. A timer never fires early and at most one tick late, counted from the first
 // Advance at or after its time. It is not safe for concurrent use.
 type Wheel[T any] struct {
-	tick  time.Duration
-	cur   uint64 // ticks up to here have been handled
-	n     int
-	nodes []node[T] // 0 is not used
-	free  int32
-	heads [levels][slots]int32
-	tails [levels][slots]int32
-	used  [levels][slots / 64]uint64
+	tick     time.Duration
+	current  uint64 // ticks up to here have been handled
+	n        int
+	nodes    []node[T] // 0 is not used
+	freeList int32
+	heads    [levels][slots]int32
+	tails    [levels][slots]int32
+	occupied [levels][slots / 64]uint64
 }
 
 type node[T any] struct {
@@ -45,7 +45,7 @@
 
 // New makes a wheel that starts at now and tells times apart by tick.
 func New[T any](now, tick time.Duration) *Wheel[T] {
-	return &Wheel[T]{tick: tick, cur: uint64(now / tick), nodes: make([]node[T], 1)}
+	return &Wheel[T]{tick: tick, current: uint64(now / tick), nodes: make([]node[T], 1)}
 }
 
 // Len is the number of timers set.
@@ -53,17 +53,17 @@
 
 // Set makes a timer that fires at the given time, or with the next tick if that is past.
 func (w *Wheel[T]) Set(at time.Duration, payload T) Handle {
-	i := w.free
+	i := w.freeList
 	if i == 0 {
 		i = int32(len(w.nodes))
 		w.nodes = append(w.nodes, node[T]{})
 	} else {
-		w.free = w.nodes[i].next
+		w.freeList = w.nodes[i].next
 	}
 	n := &w.nodes[i]
 	n.gen++
 	n.payload = payload
-	n.due = max(uint64((at+w.tick-1)/w.tick), w.cur+1)
+	n.due = max(uint64((at+w.tick-1)/w.tick), w.current+1)
 	w.place(i)
 	w.n++
 	return Handle{i, n.gen}
@@ -81,29 +81,29 @@
 
 func (w *Wheel[T]) release(i int32) {
 	n := &w.nodes[i]
-	var none T
-	n.payload, n.level, n.next = none, -1, w.free
-	w.free = i
+	var zero T
+	n.payload, n.level, n.next = zero, -1, w.freeList
+	w.freeList = i
 	w.n--
 }
 
 // place puts a node into the slot of its due tick, seen from cur.
 func (w *Wheel[T]) place(i int32) {
 	n := &w.nodes[i]
-	delta, level := n.due-w.cur, 0
+	delta, level := n.due-w.current, 0
 	for level < levels-1 && delta >= 1<<(slotBits*(level+1)) {
 		level++
 	}
 	if top := uint64(1)<<(slotBits*levels) - 1; delta > top { // beyond the horizon: looked at again there
 		delta = top
 	}
-	s := (w.cur + delta) >> (slotBits * level) & mask
+	s := (w.current + delta) >> (slotBits * level) & mask
 	n.level, n.slot, n.next, n.prev = int8(level), uint8(s), 0, w.tails[level][s]
 	if n.prev != 0 {
 		w.nodes[n.prev].next = i
 	} else {
 		w.heads[level][s] = i
-		w.used[level][s/64] |= 1 << (s % 64)
+		w.occupied[level][s/64] |= 1 << (s % 64)
 	}
 	w.tails[level][s] = i
 }
@@ -121,15 +121,15 @@
 		w.tails[n.level][n.slot] = n.prev
 	}
 	if w.heads[n.level][n.slot] == 0 {
-		w.used[n.level][n.slot/64] &^= 1 << (n.slot % 64)
+		w.occupied[n.level][n.slot/64] &^= 1 << (n.slot % 64)
 	}
 }
 
-// ahead is the distance, 1 to slots, from slot s to the next used one of a level; 0: there is none.
-func (w *Wheel[T]) ahead(level int, s uint64) uint64 {
+// distance is the distance, 1 to slots, from slot s to the next used one of a level; 0: there is none.
+func (w *Wheel[T]) distance(level int, s uint64) uint64 {
 	for d := uint64(1); d <= slots; {
 		at := (s + d) & mask
-		word := w.used[level][at/64] >> (at % 64)
+		word := w.occupied[level][at/64] >> (at % 64)
 		if word != 0 {
 			return min(d+uint64(bits.TrailingZeros64(word)), slots)
 		}
@@ -141,8 +141,8 @@
 // next is the first tick at which something is to be done: a timer to fire, or a slot to be dealt out to lower levels.
 func (w *Wheel[T]) next() (tick uint64, ok bool) {
 	for level := range levels {
-		at := w.cur >> (slotBits * level)
-		if d := w.ahead(level, at&mask); d > 0 {
+		at := w.current >> (slotBits * level)
+		if d := w.distance(level, at&mask); d > 0 {
 			if t := (at + d) << (slotBits * level); !ok || t < tick {
 				tick, ok = t, true
 			}
@@ -160,13 +160,13 @@
 // Advance fires every timer due at now, in the order of their times. fire may set and stop timers.
 func (w *Wheel[T]) Advance(now time.Duration, fire func(T)) {
 	target := uint64(now / w.tick)
-	for w.cur < target {
+	for w.current < target {
 		t, ok := w.next()
 		if !ok || t > target {
-			w.cur = target
+			w.current = target
 			return
 		}
-		w.cur = t
+		w.current = t
 		for level := levels - 1; level > 0; level-- {
 			if t&(1<<(slotBits*level)-1) != 0 {
 				continue
--- a/timer/wheel_test.go
+++ b/timer/wheel_test.go
@@ -26,7 +26,7 @@
 		}
 		now := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "start"))
 		w := New[int](now, ms)
-		set := map[int]entry{}
+		pending := map[int]entry{}
 		id := 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
@@ -34,21 +34,21 @@
 				span := rapid.SampledFrom([]time.Duration{0, ms, 300 * ms, 70 * time.Second, 20 * time.Hour, 2000 * time.Hour}).Draw(t, "span")
 				at := now + time.Duration(rapid.Int64Range(0, int64(span)).Draw(t, "after"))
 				id++
-				set[id] = entry{at, w.Set(at, id)}
+				pending[id] = entry{at, w.Set(at, id)}
 			case 2:
-				for k, e := range set {
+				for k, e := range pending {
 					if !w.Stop(e.h) || w.Stop(e.h) {
 						t.Fatal("Stop is wrong about a set timer")
 					}
-					delete(set, k)
+					delete(pending, k)
 					break
 				}
 			case 3:
 				step := rapid.SampledFrom([]time.Duration{0, ms / 3, ms, 255 * ms, 256 * ms, 66 * time.Second, 19 * time.Hour, 1500 * time.Hour}).Draw(t, "step")
-				if next, ok := w.Next(); ok != (len(set) > 0) {
-					t.Fatalf("Next says %v with %d set", ok, len(set))
+				if next, ok := w.Next(); ok != (len(pending) > 0) {
+					t.Fatalf("Next says %v with %d set", ok, len(pending))
 				} else if ok {
-					for _, e := range set {
+					for _, e := range pending {
 						if next > max(e.at, now)+2*ms {
 							t.Fatalf("Next %v after a timer at %v", next, e.at)
 						}
@@ -57,7 +57,7 @@
 				now += step
 				last := time.Duration(0)
 				w.Advance(now, func(k int) {
-					e, ok := set[k]
+					e, ok := pending[k]
 					if !ok || e.at > now {
 						t.Fatalf("timer %d at %v fired at %v, known %v", k, e.at, now, ok)
 					}
@@ -65,16 +65,16 @@
 						t.Fatalf("timer at %v after one at %v", e.at, last)
 					}
 					last = max(last, e.at)
-					delete(set, k)
+					delete(pending, k)
 				})
-				for k, e := range set {
+				for k, e := range pending {
 					if e.at <= now-2*ms {
 						t.Fatalf("timer %d at %v has not fired at %v", k, e.at, now)
 					}
 				}
 			}
-			if w.Len() != len(set) {
-				t.Fatalf("%d timers, want %d", w.Len(), len(set))
+			if w.Len() != len(pending) {
+				t.Fatalf("%d timers, want %d", w.Len(), len(pending))
 			}
 		}
 	})
@@ -106,18 +106,18 @@
 	}
 }
 
-type item struct {
+type heapTimer struct {
 	at time.Duration
 	id int
 	i  int
 }
-type queue []*item
+type timerHeap []*heapTimer
 
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(a, b int) bool { return q[a].at < q[b].at }
-func (q queue) Swap(a, b int)      { q[a], q[b] = q[b], q[a]; q[a].i, q[b].i = a, b }
-func (q *queue) Push(x any)        { x.(*item).i = len(*q); *q = append(*q, x.(*item)) }
-func (q *queue) Pop() any {
+func (q timerHeap) Len() int           { return len(q) }
+func (q timerHeap) Less(a, b int) bool { return q[a].at < q[b].at }
+func (q timerHeap) Swap(a, b int)      { q[a], q[b] = q[b], q[a]; q[a].i, q[b].i = a, b }
+func (q *timerHeap) Push(x any)        { x.(*heapTimer).i = len(*q); *q = append(*q, x.(*heapTimer)) }
+func (q *timerHeap) Pop() any {
 	x := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return x
@@ -129,29 +129,29 @@
 		after := func(r *rand.Rand) time.Duration { return time.Duration(r.Int64N(int64(10 * time.Second))) }
 		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) {
 			w, r := New[int](0, ms), rand.New(rand.NewPCG(1, 2))
-			hs := make([]Handle, n)
-			for i := range hs {
-				hs[i] = w.Set(after(r), i)
+			handles := make([]Handle, n)
+			for i := range handles {
+				handles[i] = w.Set(after(r), i)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				w.Stop(hs[i%n])
-				hs[i%n] = w.Set(after(r), i)
+				w.Stop(handles[i%n])
+				handles[i%n] = w.Set(after(r), i)
 			}
 		})
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
 			r := rand.New(rand.NewPCG(1, 2))
-			var q queue
-			is := make([]*item, n)
-			for i := range is {
-				is[i] = &item{at: after(r), id: i}
-				heap.Push(&q, is[i])
+			var q timerHeap
+			timers := make([]*heapTimer, n)
+			for i := range timers {
+				timers[i] = &heapTimer{at: after(r), id: i}
+				heap.Push(&q, timers[i])
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				heap.Remove(&q, is[i%n].i)
-				is[i%n] = &item{at: after(r), id: i}
-				heap.Push(&q, is[i%n])
+				heap.Remove(&q, timers[i%n].i)
+				timers[i%n] = &heapTimer{at: after(r), id: i}
+				heap.Push(&q, timers[i%n])
 			}
 		})
 	}
--- a/trunk/trunk.go
+++ b/trunk/trunk.go
@@ -23,16 +23,16 @@
 }
 
 func (t Timers) withDefaults() Timers {
-	def := func(d *time.Duration, v time.Duration) {
+	setDefault := func(d *time.Duration, v time.Duration) {
 		if *d == 0 {
 			*d = v
 		}
 	}
-	def(&t.T1, 15*time.Second)
-	def(&t.T5, 5*time.Minute)
-	def(&t.T16, 15*time.Second)
-	def(&t.T28, 10*time.Second)
-	def(&t.SignallingHold, 10*time.Second)
+	setDefault(&t.T1, 15*time.Second)
+	setDefault(&t.T5, 5*time.Minute)
+	setDefault(&t.T16, 15*time.Second)
+	setDefault(&t.T28, 10*time.Second)
+	setDefault(&t.SignallingHold, 10*time.Second)
 	return t
 }
 
@@ -63,12 +63,12 @@
 	SignallingLost                // signalling to the far end is lost
 )
 
-func (w Reason) String() string {
-	return [...]string{"dual seizure", "circuit reset", "hardware failure", "signalling lost"}[w]
+func (r Reason) String() string {
+	return [...]string{"dual seizure", "circuit reset", "hardware failure", "signalling lost"}[r]
 }
 
 // Action is something to be done for a group: one of the types below.
-type Action interface{ act() }
+type Action interface{ isAction() }
 
 type (
 	// SendToFar sends a message to the far switch.
@@ -89,45 +89,45 @@
 	}
 )
 
-func (SendToFar) act()   {}
-func (SendToOwn) act()   {}
-func (CircuitLost) act() {}
-func (StartTimer) act()  {}
+func (SendToFar) isAction()   {}
+func (SendToOwn) isAction()   {}
+func (CircuitLost) isAction() {}
+func (StartTimer) isAction()  {}
 
 // TimerID is the content of an Alarm.
 type TimerID struct {
 	CIC  uint16 // 0: the whole group
-	Kind wakeKind
+	Kind timerKind
 	Gen  uint32
 }
 
-type wakeKind uint8
+type timerKind uint8
 
 const (
-	wakeRelease wakeKind = iota // T1
-	wakeReset                   // T16
-	wakeQuery                   // T28
-	wakeHold                    // Hold
+	timerRelease timerKind = iota // T1
+	timerReset                    // T16
+	timerQuery                    // T28
+	timerHold                     // Hold
 )
 
 type circuit struct {
-	state      State
-	answered   bool
-	blockedFar bool // by BLO or CGB of the far end
-	broken     bool // by CGB for hardware failure
-	blocked    bool // by the own operators
-	listed     bool // in the list of idle circuits
-	next, prev uint16
-	gen        uint32 // counts changes of state, so that old alarms are known
-	repeats    int
-	call       uint64
+	state           State
+	answered        bool
+	blockedByFar    bool // by BLO or CGB of the far end
+	hardwareBlocked bool // by CGB for hardware failure
+	blockedHere     bool // by the own operators
+	inIdleList      bool // in the list of idle circuits
+	next, prev      uint16
+	gen             uint32 // counts changes of state, so that old alarms are known
+	retransmissions int
+	call            uint64
 }
 
 // Group is one trunk group. It is not safe for concurrent use.
 type Group struct {
 	Actions []Action // what is to be done; the owner takes them and cuts the slice
 
-	t        Timers
+	timers   Timers
 	self     uint32
 	far      uint32
 	circuits []circuit // by CIC, from 1
@@ -145,104 +145,104 @@
 }
 
 const (
-	mine = iota
-	theirs
+	ownControlled = iota
+	farControlled
 )
 
 // New makes a group of circuits 1 to size between the point codes self and far. It is in use after Sync.
-func New(t Timers, self, far uint32, size int) (*Group, error) {
+func New(timers Timers, self, far uint32, size int) (*Group, error) {
 	if size < 1 || size > isup.MaxCIC {
 		return nil, fmt.Errorf("trunk: a group of %d circuits; 1 to %d can be", size, isup.MaxCIC)
 	}
-	g := &Group{t: t.withDefaults(), self: self, far: far, circuits: make([]circuit, size+1), queries: map[uint16]int{}}
+	g := &Group{timers: timers.withDefaults(), self: self, far: far, circuits: make([]circuit, size+1), queries: map[uint16]int{}}
 	g.inService = size
 	for cic := 1; cic <= size; cic++ {
-		g.list(uint16(cic))
+		g.addIdle(uint16(cic))
 	}
 	return g, nil
 }
 
-// controls tells whether the own end controls a circuit: the exchange with the higher point code has the even ones, the
+// controlledHere tells whether the own end controlledHere a circuit: the exchange with the higher point code has the even ones, the
 // other the odd ones (Q.764, 2.9.1.4).
-func (g *Group) controls(cic uint16) bool { return (g.self > g.far) == (cic%2 == 0) }
+func (g *Group) controlledHere(cic uint16) bool { return (g.self > g.far) == (cic%2 == 0) }
 
-func (g *Group) which(cic uint16) int {
-	if g.controls(cic) {
-		return mine
+func (g *Group) idleListOf(cic uint16) int {
+	if g.controlledHere(cic) {
+		return ownControlled
 	}
-	return theirs
+	return farControlled
 }
 
-// list puts a circuit into the idle list if it may be seized.
-func (g *Group) list(cic uint16) {
+// addIdle puts a circuit into the idle addIdle if it may be seized.
+func (g *Group) addIdle(cic uint16) {
 	c := &g.circuits[cic]
-	if c.listed || c.state != Idle || c.blockedFar || c.blocked || c.broken {
+	if c.inIdleList || c.state != Idle || c.blockedByFar || c.blockedHere || c.hardwareBlocked {
 		return
 	}
-	c.listed, c.next, c.prev = true, 0, 0
+	c.inIdleList, c.next, c.prev = true, 0, 0
 	g.free++
-	w := g.which(cic)
-	if w == mine {
-		if c.prev = g.tail[w]; c.prev != 0 {
+	list := g.idleListOf(cic)
+	if list == ownControlled {
+		if c.prev = g.tail[list]; c.prev != 0 {
 			g.circuits[c.prev].next = cic
 		} else {
-			g.head[w] = cic
+			g.head[list] = cic
 		}
-		g.tail[w] = cic
+		g.tail[list] = cic
 		return
 	}
-	if c.next = g.head[w]; c.next != 0 {
+	if c.next = g.head[list]; c.next != 0 {
 		g.circuits[c.next].prev = cic
 	} else {
-		g.tail[w] = cic
+		g.tail[list] = cic
 	}
-	g.head[w] = cic
+	g.head[list] = cic
 }
 
-func (g *Group) unlist(cic uint16) {
+func (g *Group) removeIdle(cic uint16) {
 	c := &g.circuits[cic]
-	if !c.listed {
+	if !c.inIdleList {
 		return
 	}
-	w := g.which(cic)
+	list := g.idleListOf(cic)
 	if c.prev != 0 {
 		g.circuits[c.prev].next = c.next
 	} else {
-		g.head[w] = c.next
+		g.head[list] = c.next
 	}
 	if c.next != 0 {
 		g.circuits[c.next].prev = c.prev
 	} else {
-		g.tail[w] = c.prev
+		g.tail[list] = c.prev
 	}
-	c.listed = false
+	c.inIdleList = false
 	g.free--
 }
 
-func (g *Group) set(cic uint16, s State, call uint64) {
+func (g *Group) setState(cic uint16, s State, call uint64) {
 	c := &g.circuits[cic]
-	c.state, c.call, c.answered, c.repeats = s, call, false, 0
+	c.state, c.call, c.answered, c.retransmissions = s, call, false, 0
 	c.gen++
 	if s == Idle {
-		g.list(cic)
+		g.addIdle(cic)
 	} else {
-		g.unlist(cic)
+		g.removeIdle(cic)
 	}
 }
 
-func (g *Group) do(a Action) { g.Actions = append(g.Actions, a) }
+func (g *Group) emit(a Action) { g.Actions = append(g.Actions, a) }
 
-func (g *Group) toFar(t isup.Type, cic uint16) { g.do(SendToFar{isup.Message{Type: t, CIC: cic}}) }
+func (g *Group) sendFar(t isup.Type, cic uint16) { g.emit(SendToFar{isup.Message{Type: t, CIC: cic}}) }
 
-func (g *Group) alarm(d time.Duration, cic uint16, k wakeKind) {
+func (g *Group) startTimer(after time.Duration, cic uint16, kind timerKind) {
 	gen := g.gen
 	if cic != 0 {
 		gen = g.circuits[cic].gen
 	}
-	g.do(StartTimer{d, TimerID{cic, k, gen}})
+	g.emit(StartTimer{after, TimerID{cic, kind, gen}})
 }
 
-func (g *Group) has(cic uint16) bool { return cic >= 1 && int(cic) < len(g.circuits) }
+func (g *Group) hasCircuit(cic uint16) bool { return cic >= 1 && int(cic) < len(g.circuits) }
 
 // Far is the point code of the other end.
 func (g *Group) Far() uint32 { return g.far }
@@ -263,7 +263,7 @@
 
 // Circuit tells the state of a circuit and the call on it.
 func (g *Group) Circuit(cic uint16) (State, uint64) {
-	if !g.has(cic) {
+	if !g.hasCircuit(cic) {
 		return Idle, 0
 	}
 	return g.circuits[cic].state, g.circuits[cic].call
@@ -285,31 +285,31 @@
 	if !g.inSync {
 		return 0, false
 	}
-	if cic = g.head[mine]; cic == 0 {
-		cic = g.head[theirs]
+	if cic = g.head[ownControlled]; cic == 0 {
+		cic = g.head[farControlled]
 	}
 	if cic == 0 {
 		return 0, false
 	}
-	g.set(cic, Outgoing, call)
+	g.setState(cic, Outgoing, call)
 	return cic, true
 }
 
 // Unseize gives back a circuit whose IAM was never sent.
-func (g *Group) Unseize(cic uint16) { g.set(cic, Idle, 0) }
+func (g *Group) Unseize(cic uint16) { g.setState(cic, Idle, 0) }
 
 // Answered notes that the call on a circuit seized here stands.
 func (g *Group) Answered(cic uint16) { g.circuits[cic].answered = true }
 
 // Release ends the call on a circuit seized here: REL goes out, and the circuit is taken until RLC has come.
 func (g *Group) Release(cic uint16, cause isup.Cause, loc isup.Location) {
-	g.set(cic, Releasing, 0)
-	g.do(SendToFar{isup.Message{Type: isup.REL, CIC: cic, Cause: cause, Location: loc}})
-	g.alarm(g.t.T1, cic, wakeRelease)
+	g.setState(cic, Releasing, 0)
+	g.emit(SendToFar{isup.Message{Type: isup.REL, CIC: cic, Cause: cause, Location: loc}})
+	g.startTimer(g.timers.T1, cic, timerRelease)
 }
 
-func (g *Group) toFarREL(cic uint16, cause isup.Cause) {
-	g.do(SendToFar{isup.Message{Type: isup.REL, CIC: cic, Cause: cause, Location: isup.LocationNetwork}})
+func (g *Group) sendREL(cic uint16, cause isup.Cause) {
+	g.emit(SendToFar{isup.Message{Type: isup.REL, CIC: cic, Cause: cause, Location: isup.LocationNetwork}})
 }
 
 // SeizureResult is what is made of a seizure by the far end.
@@ -324,7 +324,7 @@
 
 // FarSeized takes an IAM of the far end, as the own switch passes it on.
 func (g *Group) FarSeized(cic uint16, call uint64) SeizureResult {
-	if !g.has(cic) {
+	if !g.hasCircuit(cic) {
 		return SeizureInvalid
 	}
 	c := &g.circuits[cic]
@@ -333,117 +333,117 @@
 		// Dual seizure. The end that controls the circuit goes on, the other yields (Q.764, 2.9.1.4): also with an answer at
 		// hand, for word of the far end's seizure may come late.
 		g.DualSeizures++
-		if g.controls(cic) {
-			g.do(SendToOwn{isup.Message{Type: isup.RSC, CIC: cic}})
+		if g.controlledHere(cic) {
+			g.emit(SendToOwn{isup.Message{Type: isup.RSC, CIC: cic}})
 			return SeizureDisregarded
 		}
 		// The far switch has our IAM, and its controller may never have seen the two meet: it is told that the call is over,
 		// so that no second attempt can meet the first.
-		g.toFarREL(cic, isup.CauseTemporary)
-		g.do(CircuitLost{c.call, cic, true, DualSeizure})
-		g.set(cic, Incoming, call)
+		g.sendREL(cic, isup.CauseTemporary)
+		g.emit(CircuitLost{c.call, cic, true, DualSeizure})
+		g.setState(cic, Incoming, call)
 		return SeizureAccepted
 	case Incoming: // the far end has cleared its last call there, and word of that is lost
-		g.lose(cic, CircuitReset)
-		g.set(cic, Incoming, call)
+		g.reportLost(cic, CircuitReset)
+		g.setState(cic, Incoming, call)
 		return SeizureAccepted
 	default:
 		// The far end takes a circuit as idle only after it has heard the release or reset: our RLC is lost or on its way.
-		g.set(cic, Incoming, call)
+		g.setState(cic, Incoming, call)
 		return SeizureAccepted
 	}
 }
 
 // FarReleased notes that the own switch saw the call of the far end on a circuit end.
 func (g *Group) FarReleased(cic uint16) {
-	if g.has(cic) && g.circuits[cic].state == Incoming {
-		g.set(cic, Idle, 0)
+	if g.hasCircuit(cic) && g.circuits[cic].state == Incoming {
+		g.setState(cic, Idle, 0)
 	}
 }
 
-// lose tells the call on a circuit that it has lost it.
-func (g *Group) lose(cic uint16, why Reason) {
+// reportLost tells the call on a circuit that it has lost it.
+func (g *Group) reportLost(cic uint16, reason Reason) {
 	if c := &g.circuits[cic]; c.call != 0 && (c.state == Outgoing || c.state == Incoming) {
-		g.do(CircuitLost{c.call, cic, c.state == Outgoing, why})
+		g.emit(CircuitLost{c.call, cic, c.state == Outgoing, reason})
 		c.call = 0
 	}
 }
 
-// reset sends RSC for a circuit and awaits its RLC.
-func (g *Group) reset(cic uint16) {
-	g.set(cic, Resetting, 0)
-	g.toFar(isup.RSC, cic)
-	g.alarm(g.t.T16, cic, wakeReset)
+// resetCircuit sends RSC for a circuit and awaits its RLC.
+func (g *Group) resetCircuit(cic uint16) {
+	g.setState(cic, Resetting, 0)
+	g.sendFar(isup.RSC, cic)
+	g.startTimer(g.timers.T16, cic, timerReset)
 }
 
 // FromFar takes a message of the far switch about circuits: RLC, REL, all of supervision, and the answers to a set-up
 // where no call of the owner's is on the circuit. Answers to its calls are the owner's.
 func (g *Group) FromFar(m *isup.Message) {
-	if !g.has(m.CIC) && !ofGroup(m.Type) {
+	if !g.hasCircuit(m.CIC) && !isGroupMessage(m.Type) {
 		return
 	}
 	c := &g.circuits[0] // nobody's; a group message may begin below or end beyond the circuits that there are
-	if g.has(m.CIC) {
+	if g.hasCircuit(m.CIC) {
 		c = &g.circuits[m.CIC]
 	}
 	switch m.Type {
 	case isup.REL: // of a call that we know nothing of, or crossing our own REL
-		g.toFar(isup.RLC, m.CIC)
+		g.sendFar(isup.RLC, m.CIC)
 		if c.state == Outgoing {
-			g.set(m.CIC, Idle, 0)
+			g.setState(m.CIC, Idle, 0)
 		}
 	case isup.RLC:
 		if c.state == Releasing || c.state == Resetting {
-			g.set(m.CIC, Idle, 0)
+			g.setState(m.CIC, Idle, 0)
 		}
 	case isup.ACM, isup.CPG, isup.ANM, isup.CON:
 		if c.state == Idle { // it holds a call that we know nothing of (Q.764, 2.9.5.1 b)
 			g.Leaks++
-			g.reset(m.CIC)
+			g.resetCircuit(m.CIC)
 		}
 	case isup.BLO:
-		g.block(m.CIC, true, false)
-		g.toFar(isup.BLA, m.CIC)
+		g.setBlocked(m.CIC, true, false)
+		g.sendFar(isup.BLA, m.CIC)
 	case isup.UBL:
-		g.block(m.CIC, false, false)
-		g.toFar(isup.UBA, m.CIC)
+		g.setBlocked(m.CIC, false, false)
+		g.sendFar(isup.UBA, m.CIC)
 	case isup.CGB, isup.CGU:
-		g.eachStatus(m, func(cic uint16) { g.block(cic, m.Type == isup.CGB, m.Supervision == isup.Hardware) })
+		g.forEachMarked(m, func(cic uint16) { g.setBlocked(cic, m.Type == isup.CGB, m.Supervision == isup.Hardware) })
 		ack := *m
 		ack.Type, ack.Optional = isup.CGBA, nil
 		if m.Type == isup.CGU {
 			ack.Type = isup.CGUA
 		}
 		ack.Status = append([]byte(nil), m.Status...)
-		g.do(SendToFar{ack})
+		g.emit(SendToFar{ack})
 	case isup.CQR:
-		g.response(m, true)
+		g.queryResponse(m, true)
 	case isup.GRA:
 		for i := 0; i <= int(m.Range); i++ {
-			if cic := m.CIC + uint16(i); g.has(cic) && g.circuits[cic].state == Resetting {
-				g.set(cic, Idle, 0)
+			if cic := m.CIC + uint16(i); g.hasCircuit(cic) && g.circuits[cic].state == Resetting {
+				g.setState(cic, Idle, 0)
 			}
 		}
 	case isup.RSC: // the far switch has lost the call that we have there
 		g.Resets++
-		g.lose(m.CIC, CircuitReset)
+		g.reportLost(m.CIC, CircuitReset)
 		if c.state != Incoming {
-			g.set(m.CIC, Idle, 0)
+			g.setState(m.CIC, Idle, 0)
 		}
-		g.toFar(isup.RLC, m.CIC)
+		g.sendFar(isup.RLC, m.CIC)
 	case isup.GRS:
 		for i := 0; i <= int(m.Range); i++ {
-			if cic := m.CIC + uint16(i); g.has(cic) && g.circuits[cic].state != Incoming {
-				g.lose(cic, CircuitReset)
-				g.set(cic, Idle, 0)
+			if cic := m.CIC + uint16(i); g.hasCircuit(cic) && g.circuits[cic].state != Incoming {
+				g.reportLost(cic, CircuitReset)
+				g.setState(cic, Idle, 0)
 			}
 		}
-		g.do(SendToFar{isup.Message{Type: isup.GRA, CIC: m.CIC, Range: m.Range, Status: make([]byte, (m.Range+8)/8)}})
+		g.emit(SendToFar{isup.Message{Type: isup.GRA, CIC: m.CIC, Range: m.Range, Status: make([]byte, (m.Range+8)/8)}})
 	}
 }
 
-// ofGroup tells that a message names a range of circuits.
-func ofGroup(t isup.Type) bool {
+// isGroupMessage tells that a message names a range of circuits.
+func isGroupMessage(t isup.Type) bool {
 	switch t {
 	case isup.GRS, isup.GRA, isup.CGB, isup.CGU, isup.CGBA, isup.CGUA, isup.CQM, isup.CQR:
 		return true
@@ -454,7 +454,7 @@
 // FromOwn takes a message that the own switch passes on from the far controller, or its own answer to a query. The own
 // switch has answered the far end itself.
 func (g *Group) FromOwn(m *isup.Message) {
-	if !g.has(m.CIC) && !ofGroup(m.Type) {
+	if !g.hasCircuit(m.CIC) && !isGroupMessage(m.Type) {
 		return
 	}
 	switch m.Type {
@@ -462,116 +462,118 @@
 		// The own switch answers for calls that end with it. One in transit ends here: until this RLC the far end may not
 		// take the circuit again, or an answer of ours still under way would meet its next call.
 		if c := &g.circuits[m.CIC]; c.state == Incoming && c.call != 0 || c.state == Idle {
-			g.do(SendToOwn{isup.Message{Type: isup.RLC, CIC: m.CIC}})
+			g.emit(SendToOwn{isup.Message{Type: isup.RLC, CIC: m.CIC}})
 		}
 		g.FarReleased(m.CIC)
 	case isup.RLC:
 		g.FarReleased(m.CIC)
 	case isup.RSC:
-		g.clear(m.CIC)
+		g.resetByFar(m.CIC)
 	case isup.GRS:
 		for i := 0; i <= int(m.Range); i++ {
-			if cic := m.CIC + uint16(i); g.has(cic) {
-				g.clear(cic)
+			if cic := m.CIC + uint16(i); g.hasCircuit(cic) {
+				g.resetByFar(cic)
 			}
 		}
 	case isup.BLO:
-		g.block(m.CIC, true, false)
+		g.setBlocked(m.CIC, true, false)
 	case isup.UBL:
-		g.block(m.CIC, false, false)
+		g.setBlocked(m.CIC, false, false)
 	case isup.CGB, isup.CGU:
-		g.eachStatus(m, func(cic uint16) {
+		g.forEachMarked(m, func(cic uint16) {
 			hardware := m.Supervision == isup.Hardware
 			if hardware && m.Type == isup.CGB && g.circuits[cic].state == Outgoing {
 				// The far switch may not know: it is told that our call is over, before another attempt is made.
-				g.lose(cic, HardwareBlocked)
+				g.reportLost(cic, HardwareBlocked)
 				g.Release(cic, isup.CauseTemporary, isup.LocationNetwork)
 			}
-			g.block(cic, m.Type == isup.CGB, hardware)
+			g.setBlocked(cic, m.Type == isup.CGB, hardware)
 		})
 	case isup.CQR:
-		g.response(m, false)
+		g.queryResponse(m, false)
 	}
 }
 
-// clear takes what the far controller has reset: its own call on the circuit, or ours that it wants gone.
-func (g *Group) clear(cic uint16) {
+// resetByFar takes what the far controller has reset: its own call on the circuit, or ours that it wants gone.
+func (g *Group) resetByFar(cic uint16) {
 	c := &g.circuits[cic]
 	g.Resets++
 	switch c.state {
 	case Outgoing:
-		g.lose(cic, CircuitReset)
+		g.reportLost(cic, CircuitReset)
 		g.Release(cic, isup.CauseTemporary, isup.LocationNetwork)
 	case Incoming:
-		g.lose(cic, CircuitReset)
-		g.set(cic, Idle, 0)
+		g.reportLost(cic, CircuitReset)
+		g.setState(cic, Idle, 0)
 	}
 }
 
-func (g *Group) eachStatus(m *isup.Message, f func(uint16)) {
+func (g *Group) forEachMarked(m *isup.Message, f func(uint16)) {
 	for i := 0; i <= int(m.Range); i++ {
-		if cic := m.CIC + uint16(i); m.Status[i/8]>>(i%8)&1 == 1 && g.has(cic) {
+		if cic := m.CIC + uint16(i); m.Status[i/8]>>(i%8)&1 == 1 && g.hasCircuit(cic) {
 			f(cic)
 		}
 	}
 }
 
-// block blocks or unblocks a circuit for the far end. Hardware failure ends the call on it (Q.764, 2.8.2.2).
-func (g *Group) block(cic uint16, on, hardware bool) {
+// setBlocked blocks or unblocks a circuit for the far end. Hardware failure ends the call on it (Q.764, 2.8.2.2).
+func (g *Group) setBlocked(cic uint16, blocked, hardware bool) {
 	c := &g.circuits[cic]
-	was := g.served(c)
+	wasUsable := g.usable(c)
 	if hardware {
-		c.broken = on
-		if on && (c.state == Outgoing || c.state == Incoming) {
-			g.lose(cic, HardwareBlocked)
-			g.set(cic, Idle, 0)
+		c.hardwareBlocked = blocked
+		if blocked && (c.state == Outgoing || c.state == Incoming) {
+			g.reportLost(cic, HardwareBlocked)
+			g.setState(cic, Idle, 0)
 		}
 	} else {
-		c.blockedFar = on
+		c.blockedByFar = blocked
 	}
-	g.relist(cic, was)
+	g.updateIdleList(cic, wasUsable)
 }
 
-func (g *Group) served(c *circuit) bool { return !c.blocked && !c.blockedFar && !c.broken }
+func (g *Group) usable(c *circuit) bool {
+	return !c.blockedHere && !c.blockedByFar && !c.hardwareBlocked
+}
 
-func (g *Group) relist(cic uint16, was bool) {
+func (g *Group) updateIdleList(cic uint16, wasUsable bool) {
 	c := &g.circuits[cic]
-	is := g.served(c)
-	if was && !is {
+	isUsable := g.usable(c)
+	if wasUsable && !isUsable {
 		g.inService--
-		g.unlist(cic)
-	} else if !was && is {
+		g.removeIdle(cic)
+	} else if !wasUsable && isUsable {
 		g.inService++
-		g.list(cic)
+		g.addIdle(cic)
 	}
 }
 
 // Block blocks or unblocks every circuit from this end, as operators ask. Calls on them go on.
-func (g *Group) Block(on bool) {
+func (g *Group) Block(blocked bool) {
 	for cic := 1; cic < len(g.circuits); cic++ {
-		was := g.served(&g.circuits[cic])
-		g.circuits[cic].blocked = on
-		g.relist(uint16(cic), was)
+		wasUsable := g.usable(&g.circuits[cic])
+		g.circuits[cic].blockedHere = blocked
+		g.updateIdleList(uint16(cic), wasUsable)
 	}
-	t := isup.CGU
-	if on {
-		t = isup.CGB
+	groupType := isup.CGU
+	if blocked {
+		groupType = isup.CGB
 	}
 	for first := 1; first < len(g.circuits); first += isup.MaxRange {
 		n := min(isup.MaxRange, len(g.circuits)-first)
 		if n == 1 { // a group message names two circuits at the least
-			one := isup.UBL
-			if on {
-				one = isup.BLO
+			singleType := isup.UBL
+			if blocked {
+				singleType = isup.BLO
 			}
-			g.toFar(one, uint16(first))
+			g.sendFar(singleType, uint16(first))
 			continue
 		}
 		status := make([]byte, (n+7)/8)
 		for i := range n {
 			status[i/8] |= 1 << (i % 8)
 		}
-		g.do(SendToFar{isup.Message{Type: t, CIC: uint16(first), Range: byte(n - 1), Status: status}})
+		g.emit(SendToFar{isup.Message{Type: groupType, CIC: uint16(first), Range: byte(n - 1), Status: status}})
 	}
 }
 
@@ -580,12 +582,12 @@
 func (g *Group) Down() {
 	g.inSync, g.gen = false, g.gen+1
 	clear(g.queries)
-	for cic := uint16(1); g.has(cic); cic++ {
+	for cic := uint16(1); g.hasCircuit(cic); cic++ {
 		if c := &g.circuits[cic]; c.state == Outgoing && !c.answered {
-			g.lose(cic, SignallingLost)
+			g.reportLost(cic, SignallingLost)
 		}
 	}
-	g.alarm(g.t.SignallingHold, 0, wakeHold)
+	g.startTimer(g.timers.SignallingHold, 0, timerHold)
 }
 
 // Sync asks the far switch, when signalling comes up, which circuits it takes for busy. The group carries no new call
@@ -596,71 +598,71 @@
 	for first := 1; first < len(g.circuits); first += isup.MaxRange {
 		n := min(isup.MaxRange, len(g.circuits)-first)
 		g.queries[uint16(first)] = n
-		g.query(uint16(first), n)
+		g.sendQuery(uint16(first), n)
 	}
-	g.alarm(g.t.T28, 0, wakeQuery)
+	g.startTimer(g.timers.T28, 0, timerQuery)
 }
 
-func (g *Group) query(first uint16, n int) {
-	g.do(SendToFar{isup.Message{Type: isup.CQM, CIC: first, Range: byte(n - 1)}})
+func (g *Group) sendQuery(first uint16, n int) {
+	g.emit(SendToFar{isup.Message{Type: isup.CQM, CIC: first, Range: byte(n - 1)}})
 }
 
 // SyncOwn asks the own switch which circuits the far end has seized.
 func (g *Group) SyncOwn() {
 	for first := 1; first < len(g.circuits); first += isup.MaxRange {
 		n := min(isup.MaxRange, len(g.circuits)-first)
-		g.do(SendToOwn{isup.Message{Type: isup.CQM, CIC: uint16(first), Range: byte(n - 1)}})
+		g.emit(SendToOwn{isup.Message{Type: isup.CQM, CIC: uint16(first), Range: byte(n - 1)}})
 	}
 }
 
-// response compares a switch's view of its circuits with the own one.
-func (g *Group) response(m *isup.Message, far bool) {
-	if far {
+// queryResponse compares a switch's view of its circuits with the own one.
+func (g *Group) queryResponse(m *isup.Message, fromFar bool) {
+	if fromFar {
 		// One answer to each question: the answer to a repeated one may be older than what has been sent since.
-		n, asked := g.queries[m.CIC]
-		if !asked || len(m.Circuits) < n {
+		n, pending := g.queries[m.CIC]
+		if !pending || len(m.Circuits) < n {
 			return
 		}
 		delete(g.queries, m.CIC)
 	}
 	for i, s := range m.Circuits {
 		cic := m.CIC + uint16(i)
-		if !g.has(cic) {
+		if !g.hasCircuit(cic) {
 			continue
 		}
 		c := &g.circuits[cic]
 		busy := s&isup.CircuitStateMask == isup.CircuitIncoming
-		if !far { // the own switch: busy are the far end's calls
+		if !fromFar { // the own switch: busy are the far end's calls
 			switch {
 			case busy && c.state == Idle:
 				g.Leaks++
-				g.set(cic, Incoming, 0)
+				g.setState(cic, Incoming, 0)
 			case !busy && c.state == Incoming:
 				g.Leaks++
-				g.lose(cic, CircuitReset)
-				g.set(cic, Idle, 0)
+				g.reportLost(cic, CircuitReset)
+				g.setState(cic, Idle, 0)
 			}
 			continue
 		}
 		switch { // the far switch: busy are calls seized here
 		case busy && (c.state == Idle || c.state == Releasing || c.state == Resetting):
 			g.Leaks++
-			g.reset(cic)
+			g.resetCircuit(cic)
 		case busy && c.state == Outgoing && c.call == 0: // its call was given up while signalling was lost
-			g.reset(cic)
+			g.resetCircuit(cic)
 		case busy && c.state == Incoming:
 			// It holds a call of ours that we gave up for one of the far end's: each would wait for the other's release.
 			g.Leaks++
-			g.toFar(isup.RSC, cic)
+			g.sendFar(isup.RSC, cic)
 		case !busy && c.state == Outgoing:
 			g.Leaks++
-			g.lose(cic, CircuitReset)
-			g.set(cic, Idle, 0)
+			g.reportLost(cic, CircuitReset)
+			g.setState(cic, Idle, 0)
 		case !busy && (c.state == Releasing || c.state == Resetting):
-			g.set(cic, Idle, 0)
+			g.setState(cic, Idle, 0)
 		}
 	}
-	if far {
+	if fromFar {
 		g.inSync = g.inSync || len(g.queries) == 0
 	}
 }
@@ -669,7 +671,7 @@
 // here. One that knows none of them has started anew.
 func (g *Group) Remembered(m *isup.Message) bool {
 	for i, s := range m.Circuits {
-		if cic := m.CIC + uint16(i); g.has(cic) && g.circuits[cic].state == Outgoing && g.circuits[cic].answered &&
+		if cic := m.CIC + uint16(i); g.hasCircuit(cic) && g.circuits[cic].state == Outgoing && g.circuits[cic].answered &&
 			s&isup.CircuitStateMask == isup.CircuitIncoming {
 			return true
 		}
@@ -678,45 +680,45 @@
 }
 
 // TimerExpired takes an alarm that has run out.
-func (g *Group) TimerExpired(w TimerID) {
-	if w.CIC == 0 {
-		if w.Gen != g.gen {
+func (g *Group) TimerExpired(id TimerID) {
+	if id.CIC == 0 {
+		if id.Gen != g.gen {
 			return
 		}
-		switch w.Kind {
-		case wakeQuery:
+		switch id.Kind {
+		case timerQuery:
 			for first := 1; first < len(g.circuits) && len(g.queries) > 0; first += isup.MaxRange {
-				if n, open := g.queries[uint16(first)]; open {
-					g.query(uint16(first), n)
+				if n, pending := g.queries[uint16(first)]; pending {
+					g.sendQuery(uint16(first), n)
 				}
 			}
 			if len(g.queries) > 0 {
-				g.alarm(g.t.T28, 0, wakeQuery)
+				g.startTimer(g.timers.T28, 0, timerQuery)
 			}
-		case wakeHold:
-			for cic := uint16(1); g.has(cic); cic++ {
+		case timerHold:
+			for cic := uint16(1); g.hasCircuit(cic); cic++ {
 				if g.circuits[cic].state == Outgoing {
-					g.lose(cic, SignallingLost)
+					g.reportLost(cic, SignallingLost)
 				}
 			}
 		}
 		return
 	}
-	c := &g.circuits[w.CIC]
-	if c.gen != w.Gen {
+	c := &g.circuits[id.CIC]
+	if c.gen != id.Gen {
 		return
 	}
 	switch {
-	case w.Kind == wakeRelease && c.state == Releasing:
-		if c.repeats++; time.Duration(c.repeats)*g.t.T1 >= g.t.T5 {
+	case id.Kind == timerRelease && c.state == Releasing:
+		if c.retransmissions++; time.Duration(c.retransmissions)*g.timers.T1 >= g.timers.T5 {
 			g.Resets++
-			g.reset(w.CIC)
+			g.resetCircuit(id.CIC)
 			return
 		}
-		g.toFarREL(w.CIC, isup.CauseTimer)
-		g.alarm(g.t.T1, w.CIC, wakeRelease)
-	case w.Kind == wakeReset && c.state == Resetting:
-		g.toFar(isup.RSC, w.CIC)
-		g.alarm(g.t.T16, w.CIC, wakeReset)
+		g.sendREL(id.CIC, isup.CauseTimer)
+		g.startTimer(g.timers.T1, id.CIC, timerRelease)
+	case id.Kind == timerReset && c.state == Resetting:
+		g.sendFar(isup.RSC, id.CIC)
+		g.startTimer(g.timers.T16, id.CIC, timerReset)
 	}
 }
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -12,18 +12,18 @@
 // The same cases at every run; other seeds by hand: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
-func group(t testing.TB, self, far uint32, n int) *Group {
+func newGroup(t testing.TB, self, far uint32, n int) *Group {
 	t.Helper()
 	g, err := New(Timers{}, self, far, n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	agree(g)
+	syncAllIdle(g)
 	return g
 }
 
-// agree answers the queries of Sync: all idle.
-func agree(g *Group) {
+// syncAllIdle answers the queries of Sync: all idle.
+func syncAllIdle(g *Group) {
 	g.Sync()
 	for _, a := range g.Actions {
 		if q, ok := a.(SendToFar); ok && q.Msg.Type == isup.CQM {
@@ -37,14 +37,14 @@
 	g.Actions = nil
 }
 
-func take(g *Group) []Action {
+func takeActions(g *Group) []Action {
 	a := g.Actions
 	g.Actions = nil
 	return a
 }
 
-func find[T Action](acts []Action) (T, bool) {
-	for _, a := range acts {
+func findAction[T Action](actions []Action) (T, bool) {
+	for _, a := range actions {
 		if x, ok := a.(T); ok {
 			return x, true
 		}
@@ -55,7 +55,7 @@
 
 // The two ends seize from opposite sides: they meet only on the last circuit.
 func TestEndsMeetLast(t *testing.T) {
-	a, b := group(t, 1, 2, 10), group(t, 2, 1, 10)
+	a, b := newGroup(t, 1, 2, 10), newGroup(t, 2, 1, 10)
 	seen := map[uint16]bool{}
 	for range 5 {
 		x, _ := a.Seize(1)
@@ -73,19 +73,19 @@
 }
 
 func TestDualSeizureOfTheLastCircuit(t *testing.T) {
-	a, b := group(t, 1, 2, 1), group(t, 2, 1, 1) // circuit 1 is odd: the lower point code controls it
+	a, b := newGroup(t, 1, 2, 1), newGroup(t, 2, 1, 1) // circuit 1 is odd: the lower point code controls it
 	x, _ := a.Seize(11)
 	y, _ := b.Seize(22)
 	if v := a.FarSeized(y, 0); v != SeizureDisregarded {
 		t.Errorf("the controlling end says %v", v)
 	}
-	if m, ok := find[SendToOwn](take(a)); !ok || m.Msg.Type != isup.RSC {
+	if m, ok := findAction[SendToOwn](takeActions(a)); !ok || m.Msg.Type != isup.RSC {
 		t.Error("the own switch is not told to disregard the far end's call")
 	}
 	if v := b.FarSeized(x, 0); v != SeizureAccepted {
 		t.Errorf("the other end says %v", v)
 	}
-	if l, ok := find[CircuitLost](take(b)); !ok || l.Call != 22 || l.Reason != DualSeizure || !l.SeizedHere {
+	if l, ok := findAction[CircuitLost](takeActions(b)); !ok || l.Call != 22 || l.Reason != DualSeizure || !l.SeizedHere {
 		t.Errorf("the yielding call is told %+v", l)
 	}
 	if s, c := a.Circuit(1); s != Outgoing || c != 11 {
@@ -98,12 +98,12 @@
 
 // REL without RLC is sent again, then the circuit is reset, and reset again until the far end answers.
 func TestReleaseWithoutComplete(t *testing.T) {
-	g := group(t, 1, 2, 2)
+	g := newGroup(t, 1, 2, 2)
 	cic, _ := g.Seize(1)
 	g.Release(cic, isup.CauseNormal, 0)
 	rel, rsc := 0, 0
 	for range 30 {
-		acts := take(g)
+		acts := takeActions(g)
 		for _, a := range acts {
 			if m, ok := a.(SendToFar); ok && m.Msg.Type == isup.REL {
 				rel++
@@ -111,7 +111,7 @@
 				rsc++
 			}
 		}
-		al, ok := find[StartTimer](acts)
+		al, ok := findAction[StartTimer](acts)
 		if !ok {
 			t.Fatal("no alarm is set: the circuit would stay taken for ever")
 		}
@@ -130,10 +130,10 @@
 }
 
 func TestStaleTimer(t *testing.T) {
-	g := group(t, 1, 2, 1)
+	g := newGroup(t, 1, 2, 1)
 	cic, _ := g.Seize(1)
 	g.Release(cic, isup.CauseNormal, 0)
-	al, _ := find[StartTimer](take(g))
+	al, _ := findAction[StartTimer](takeActions(g))
 	g.FromFar(&isup.Message{Type: isup.RLC, CIC: cic})
 	g.Seize(2)
 	g.TimerExpired(al.TimerID)
@@ -143,22 +143,22 @@
 }
 
 func TestBlocking(t *testing.T) {
-	g := group(t, 1, 2, 8)
+	g := newGroup(t, 1, 2, 8)
 	cic, _ := g.Seize(7)
 	g.FromFar(&isup.Message{Type: isup.CGB, CIC: 1, Range: 7, Supervision: isup.Maintenance, Status: []byte{0xff}})
-	if _, ok := find[CircuitLost](g.Actions); ok || g.Free() != 0 || g.Size() != 0 {
+	if _, ok := findAction[CircuitLost](g.Actions); ok || g.Free() != 0 || g.Size() != 0 {
 		t.Errorf("maintenance blocking leaves %d free of %d, or ends a call", g.Free(), g.Size())
 	}
-	if m, ok := find[SendToFar](take(g)); !ok || m.Msg.Type != isup.CGBA {
+	if m, ok := findAction[SendToFar](takeActions(g)); !ok || m.Msg.Type != isup.CGBA {
 		t.Error("no acknowledgement")
 	}
 	g.FromFar(&isup.Message{Type: isup.CGU, CIC: 1, Range: 7, Supervision: isup.Maintenance, Status: []byte{0xff}})
 	if g.Free() != 7 || g.Size() != 8 {
 		t.Errorf("%d free of %d after unblocking", g.Free(), g.Size())
 	}
-	take(g)
+	takeActions(g)
 	g.FromFar(&isup.Message{Type: isup.CGB, CIC: 1, Range: 7, Supervision: isup.Hardware, Status: []byte{0xff}})
-	if l, ok := find[CircuitLost](take(g)); !ok || l.Call != 7 || l.CIC != cic || l.Reason != HardwareBlocked {
+	if l, ok := findAction[CircuitLost](takeActions(g)); !ok || l.Call != 7 || l.CIC != cic || l.Reason != HardwareBlocked {
 		t.Errorf("hardware failure: %+v", l)
 	}
 	g.Block(true) // blocked twice: each has to be lifted
@@ -178,14 +178,14 @@
 
 // A group message may begin below or end beyond the circuits that there are: those that are meant are dealt with.
 func TestGroupMessageBeyondTheGroup(t *testing.T) {
-	g := group(t, 1, 2, 4)
+	g := newGroup(t, 1, 2, 4)
 	cic, _ := g.Seize(7)
 	g.FromFar(&isup.Message{Type: isup.GRS, CIC: 0, Range: 31})
-	acts := take(g)
-	if l, ok := find[CircuitLost](acts); !ok || l.Call != 7 || l.CIC != cic {
+	acts := takeActions(g)
+	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 7 || l.CIC != cic {
 		t.Errorf("%+v", l)
 	}
-	if m, ok := find[SendToFar](acts); !ok || m.Msg.Type != isup.GRA || m.Msg.CIC != 0 {
+	if m, ok := findAction[SendToFar](acts); !ok || m.Msg.Type != isup.GRA || m.Msg.CIC != 0 {
 		t.Errorf("%+v", m)
 	}
 	g.FromOwn(&isup.Message{Type: isup.CGB, CIC: 3, Range: 9, Supervision: isup.Hardware, Status: []byte{0xff, 3}})
@@ -202,9 +202,9 @@
 	}
 	g.Sync()
 	idle := isup.Message{Type: isup.CQR, CIC: 1, Range: 1, Circuits: []byte{isup.CircuitIdle, isup.CircuitIdle}}
-	al, _ := find[StartTimer](take(g))
+	al, _ := findAction[StartTimer](takeActions(g))
 	g.TimerExpired(al.TimerID)
-	if m, ok := find[SendToFar](take(g)); !ok || m.Msg.Type != isup.CQM {
+	if m, ok := findAction[SendToFar](takeActions(g)); !ok || m.Msg.Type != isup.CQM {
 		t.Fatal("the query is not repeated")
 	}
 	g.FromFar(&idle)
@@ -213,7 +213,7 @@
 		t.Fatal("not in sync after the first answer")
 	}
 	g.FromFar(&idle)
-	if l, lost := find[CircuitLost](take(g)); lost {
+	if l, lost := findAction[CircuitLost](takeActions(g)); lost {
 		t.Errorf("%+v", l)
 	}
 	if s, call := g.Circuit(cic); s != Outgoing || call != 7 {
@@ -223,24 +223,24 @@
 
 // Signalling is lost with a call being set up and two standing; the far switch still knows one of them.
 func TestSignallingLost(t *testing.T) {
-	g := group(t, 1, 2, 40)
+	g := newGroup(t, 1, 2, 40)
 	a, _ := g.Seize(1)
 	b, _ := g.Seize(2)
 	c, _ := g.Seize(3)
 	g.Answered(b)
 	g.Answered(c)
 	g.Down()
-	acts := take(g)
-	if l, ok := find[CircuitLost](acts); !ok || l.Call != 1 {
+	acts := takeActions(g)
+	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 1 {
 		t.Errorf("the call being set up: %+v", l)
 	}
 	if _, ok := g.Seize(9); ok {
 		t.Fatal("a group without signalling gives a circuit")
 	}
-	hold, _ := find[StartTimer](acts)
+	hold, _ := findAction[StartTimer](acts)
 	g.Sync()
 	g.TimerExpired(hold.TimerID) // signalling is back: of no effect
-	for _, act := range take(g) {
+	for _, act := range takeActions(g) {
 		if q, ok := act.(SendToFar); ok {
 			states := make([]byte, q.Msg.Range+1)
 			for i := range states {
@@ -252,11 +252,11 @@
 			g.FromFar(&isup.Message{Type: isup.CQR, CIC: q.Msg.CIC, Range: q.Msg.Range, Circuits: states})
 		}
 	}
-	acts = take(g)
-	if l, ok := find[CircuitLost](acts); !ok || l.Call != 3 {
+	acts = takeActions(g)
+	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 3 {
 		t.Errorf("the call that the far end forgot: %+v", l)
 	}
-	if m, ok := find[SendToFar](acts); !ok || m.Msg.Type != isup.RSC || m.Msg.CIC != a {
+	if m, ok := findAction[SendToFar](acts); !ok || m.Msg.Type != isup.RSC || m.Msg.CIC != a {
 		t.Errorf("the circuit of the lost attempt is not reset: %+v", m)
 	}
 	if s, call := g.Circuit(b); s != Outgoing || call != 2 {
@@ -268,73 +268,73 @@
 }
 
 func TestStandingCallsOutliveSignallingOnlyForAWhile(t *testing.T) {
-	g := group(t, 1, 2, 2)
+	g := newGroup(t, 1, 2, 2)
 	cic, _ := g.Seize(5)
 	g.Answered(cic)
 	g.Down()
-	hold, ok := find[StartTimer](take(g))
+	hold, ok := findAction[StartTimer](takeActions(g))
 	if !ok || hold.After != 10*time.Second {
 		t.Fatalf("%+v", hold)
 	}
 	g.TimerExpired(hold.TimerID)
-	if l, ok := find[CircuitLost](take(g)); !ok || l.Call != 5 {
+	if l, ok := findAction[CircuitLost](takeActions(g)); !ok || l.Call != 5 {
 		t.Errorf("%+v", l)
 	}
 }
 
-// world is both ends of a group with their switches, and messages in flight in four first-in first-out queues an end:
+// network is both ends of a group with their switches, and messages in flight in four first-in first-out queues an end:
 // the property below plays any interleaving of them.
-type world struct {
-	t    *rapid.T
-	ends [2]*end
-	next uint64
+type network struct {
+	t        *rapid.T
+	ends     [2]*end
+	lastCall uint64
 }
 
 type end struct {
-	g       *Group
-	far     *end
-	toFar   []isup.Message // controller to far switch
-	fromFar []isup.Message // far switch to controller
-	fromOwn []isup.Message // own switch to controller
-	toOwn   []isup.Message
-	alarms  []TimerID
-	calls   map[uint64]uint16 // alive here, by circuit
-	ans     map[uint64]bool   // ... that stand
-	sw      map[uint16]uint64 // in the switch: the far controller's call by circuit
-	swAns   map[uint16]bool   // ... which it has answered
-	lost    int
-	drop    func(m *isup.Message) bool // a fault: the message is lost
+	g              *Group
+	far            *end
+	toFar          []isup.Message // controller to far switch
+	fromFar        []isup.Message // far switch to controller
+	fromOwn        []isup.Message // own switch to controller
+	toOwn          []isup.Message
+	timers         []TimerID
+	calls          map[uint64]uint16 // alive here, by circuit
+	answered       map[uint64]bool   // ... that stand
+	switchCalls    map[uint16]uint64 // in the switch: the far controller's call by circuit
+	switchAnswered map[uint16]bool   // ... which it has answered
+	lostCalls      int
+	drop           func(m *isup.Message) bool // a fault: the message is lost
 }
 
-func newWorld(t *rapid.T, n int) *world {
-	w := &world{t: t}
+func newNetwork(t *rapid.T, n int) *network {
+	nw := &network{t: t}
 	for i := range 2 {
 		g, _ := New(Timers{T1: time.Second, T5: 5 * time.Second}, uint32(1+i), uint32(2-i), n)
-		w.ends[i] = &end{g: g, calls: map[uint64]uint16{}, ans: map[uint64]bool{}, sw: map[uint16]uint64{}, swAns: map[uint16]bool{}}
+		nw.ends[i] = &end{g: g, calls: map[uint64]uint16{}, answered: map[uint64]bool{}, switchCalls: map[uint16]uint64{}, switchAnswered: map[uint16]bool{}}
 	}
-	w.ends[0].far, w.ends[1].far = w.ends[1], w.ends[0]
-	for _, e := range w.ends {
+	nw.ends[0].far, nw.ends[1].far = nw.ends[1], nw.ends[0]
+	for _, e := range nw.ends {
 		e.g.Sync()
-		e.acts()
+		e.performActions()
 	}
-	w.settle(false)
-	return w
+	nw.settle(false)
+	return nw
 }
 
-func (e *end) acts() {
-	for _, a := range take(e.g) {
+func (e *end) performActions() {
+	for _, a := range takeActions(e.g) {
 		switch a := a.(type) {
 		case SendToFar:
 			e.toFar = append(e.toFar, a.Msg)
 		case SendToOwn:
 			e.toOwn = append(e.toOwn, a.Msg)
 		case StartTimer:
-			e.alarms = append(e.alarms, a.TimerID)
+			e.timers = append(e.timers, a.TimerID)
 		case CircuitLost:
 			if a.SeizedHere {
 				delete(e.calls, a.Call)
-				delete(e.ans, a.Call)
-				e.lost++
+				delete(e.answered, a.Call)
+				e.lostCalls++
 			}
 		}
 	}
@@ -355,13 +355,13 @@
 	case 0:
 		m, ok := pop(&e.toFar)
 		if ok && !(e.drop != nil && e.drop(&m)) {
-			e.far.switchTakes(m)
+			e.far.switchReceives(m)
 		}
 		return ok
 	case 1:
 		m, ok := pop(&e.fromFar)
 		if ok {
-			e.controllerTakes(m)
+			e.controllerReceives(m)
 		}
 		return ok
 	case 2:
@@ -372,7 +372,7 @@
 			} else {
 				e.g.FromOwn(&m)
 			}
-			e.acts()
+			e.performActions()
 		}
 		return ok
 	default:
@@ -382,8 +382,8 @@
 		}
 		switch m.Type {
 		case isup.RSC:
-			delete(e.sw, m.CIC)
-			delete(e.swAns, m.CIC)
+			delete(e.switchCalls, m.CIC)
+			delete(e.switchAnswered, m.CIC)
 			e.fromOwn = append(e.fromOwn, isup.Message{Type: isup.RLC, CIC: m.CIC})
 		case isup.CQM:
 			e.fromOwn = append(e.fromOwn, e.cqr(m))
@@ -396,96 +396,96 @@
 	states := make([]byte, m.Range+1)
 	for i := range states {
 		states[i] = isup.CircuitIdle
-		if _, busy := e.sw[m.CIC+uint16(i)]; busy {
+		if _, busy := e.switchCalls[m.CIC+uint16(i)]; busy {
 			states[i] = isup.CircuitIncoming
 		}
 	}
 	return isup.Message{Type: isup.CQR, CIC: m.CIC, Range: m.Range, Circuits: states}
 }
 
-// switchTakes plays the switch of e for a message of the far controller.
-func (e *end) switchTakes(m isup.Message) {
-	back := func(t isup.Type) { e.far.fromFar = append(e.far.fromFar, isup.Message{Type: t, CIC: m.CIC}) }
+// switchReceives plays the switch of e for a message of the far controller.
+func (e *end) switchReceives(m isup.Message) {
+	reply := func(t isup.Type) { e.far.fromFar = append(e.far.fromFar, isup.Message{Type: t, CIC: m.CIC}) }
 	switch m.Type {
 	case isup.IAM:
-		if _, busy := e.sw[m.CIC]; !busy {
-			e.sw[m.CIC] = uint64(m.Ref.ID)
+		if _, busy := e.switchCalls[m.CIC]; !busy {
+			e.switchCalls[m.CIC] = uint64(m.Ref.ID)
 			e.fromOwn = append(e.fromOwn, m)
 		}
 	case isup.REL, isup.RSC:
-		if _, busy := e.sw[m.CIC]; busy || m.Type == isup.RSC {
-			delete(e.sw, m.CIC)
-			delete(e.swAns, m.CIC)
+		if _, busy := e.switchCalls[m.CIC]; busy || m.Type == isup.RSC {
+			delete(e.switchCalls, m.CIC)
+			delete(e.switchAnswered, m.CIC)
 			e.fromOwn = append(e.fromOwn, m)
 		}
-		back(isup.RLC)
+		reply(isup.RLC)
 	case isup.CQM:
 		e.far.fromFar = append(e.far.fromFar, e.cqr(m))
 	}
 }
 
-// controllerTakes plays what the owner of a group does with a message of the far switch.
-func (e *end) controllerTakes(m isup.Message) {
+// controllerReceives plays what the owner of a group does with a message of the far switch.
+func (e *end) controllerReceives(m isup.Message) {
 	state, call := e.g.Circuit(m.CIC)
 	switch m.Type {
 	case isup.ANM:
 		if state == Outgoing && call != 0 {
 			e.g.Answered(m.CIC)
-			e.ans[call] = true
+			e.answered[call] = true
 		}
 	case isup.REL:
 		e.g.FromFar(&m)
 		if state == Outgoing && call != 0 {
 			delete(e.calls, call)
-			delete(e.ans, call)
+			delete(e.answered, call)
 		}
 	default:
 		e.g.FromFar(&m)
 	}
-	e.acts()
+	e.performActions()
 }
 
-func (w *world) seize(e *end) {
-	w.next++
-	cic, ok := e.g.Seize(w.next)
+func (nw *network) seize(e *end) {
+	nw.lastCall++
+	cic, ok := e.g.Seize(nw.lastCall)
 	if !ok {
 		return
 	}
-	e.calls[w.next] = cic
-	e.toFar = append(e.toFar, isup.Message{Type: isup.IAM, CIC: cic, HasRef: true, Ref: isup.CallReference{ID: uint32(w.next)}})
+	e.calls[nw.lastCall] = cic
+	e.toFar = append(e.toFar, isup.Message{Type: isup.IAM, CIC: cic, HasRef: true, Ref: isup.CallReference{ID: uint32(nw.lastCall)}})
 }
 
 // settle delivers until nothing is in flight; with alarms it lets time pass as well, until all circuits have come to rest.
-func (w *world) settle(alarms bool) {
+func (nw *network) settle(timers bool) {
 	for range 10000 {
-		moved := false
-		for _, e := range w.ends {
+		progress := false
+		for _, e := range nw.ends {
 			for k := range 4 {
 				for e.deliver(k) {
-					moved = true
+					progress = true
 				}
 			}
 		}
-		if moved {
+		if progress {
 			continue
 		}
-		if !alarms {
+		if !timers {
 			return
 		}
-		for _, e := range w.ends {
-			due := e.alarms
-			e.alarms = nil
+		for _, e := range nw.ends {
+			due := e.timers
+			e.timers = nil
 			for _, a := range due {
 				e.g.TimerExpired(a)
-				e.acts()
+				e.performActions()
 			}
-			moved = moved || len(due) > 0
+			progress = progress || len(due) > 0
 		}
-		if !moved {
+		if !progress {
 			return
 		}
 	}
-	w.t.Fatal("never comes to rest")
+	nw.t.Fatal("never comes to rest")
 }
 
 // No circuit ever carries two calls that stand, whatever the interleaving, and every circuit is idle at both ends once
@@ -493,28 +493,28 @@
 func TestCircuitsOfBothEndsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "circuits")
-		w := newWorld(t, n)
+		nw := newNetwork(t, n)
 		faults := rapid.Bool().Draw(t, "faults")
 		for range rapid.IntRange(0, 120).Draw(t, "steps") {
-			e := w.ends[rapid.IntRange(0, 1).Draw(t, "end")]
+			e := nw.ends[rapid.IntRange(0, 1).Draw(t, "end")]
 			switch op := rapid.IntRange(0, 12).Draw(t, "op"); {
 			case op < 2:
-				w.seize(e)
+				nw.seize(e)
 			case op < 8:
 				e.deliver(op % 4)
 			case op == 8: // the switch answers a call
 				for cic := uint16(1); cic <= uint16(n); cic++ {
-					if _, busy := e.sw[cic]; busy && !e.swAns[cic] {
-						e.swAns[cic] = true
+					if _, busy := e.switchCalls[cic]; busy && !e.switchAnswered[cic] {
+						e.switchAnswered[cic] = true
 						e.far.fromFar = append(e.far.fromFar, isup.Message{Type: isup.ANM, CIC: cic})
 						break
 					}
 				}
 			case op == 9: // the called side hangs up
 				for cic := uint16(1); cic <= uint16(n); cic++ {
-					if _, busy := e.sw[cic]; busy && e.swAns[cic] {
-						delete(e.sw, cic)
-						delete(e.swAns, cic)
+					if _, busy := e.switchCalls[cic]; busy && e.switchAnswered[cic] {
+						delete(e.switchCalls, cic)
+						delete(e.switchAnswered, cic)
 						e.far.fromFar = append(e.far.fromFar, isup.Message{Type: isup.REL, CIC: cic, Cause: isup.CauseNormal})
 						e.fromOwn = append(e.fromOwn, isup.Message{Type: isup.RLC, CIC: cic})
 						break
@@ -524,9 +524,9 @@
 				for cic := uint16(1); cic <= uint16(n); cic++ {
 					if s, call := e.g.Circuit(cic); s == Outgoing && call != 0 {
 						e.g.Release(cic, isup.CauseNormal, 0)
-						e.acts()
+						e.performActions()
 						delete(e.calls, call)
-						delete(e.ans, call)
+						delete(e.answered, call)
 						break
 					}
 				}
@@ -539,50 +539,50 @@
 			case op == 12 && faults: // signalling breaks and comes again
 				e.toFar, e.fromFar = nil, nil
 				e.g.Down()
-				e.acts()
+				e.performActions()
 				e.g.Sync()
 				e.g.SyncOwn()
-				e.acts()
+				e.performActions()
 			}
-			on := map[uint16]int{}
-			for _, e := range w.ends {
-				for call := range e.ans {
+			established := map[uint16]int{}
+			for _, e := range nw.ends {
+				for call := range e.answered {
 					cic := e.calls[call]
 					if _, c := e.g.Circuit(cic); c == call {
-						on[cic]++
+						established[cic]++
 					}
 				}
 			}
-			for cic, k := range on {
+			for cic, count := range established {
 				// Both ends may for a moment take a circuit for theirs while the reset of the one is in flight; what may not
 				// be is that the switches connect both.
-				if k > 1 && w.ends[0].swAns[cic] && w.ends[1].swAns[cic] &&
-					len(w.ends[0].toFar)+len(w.ends[1].toFar)+len(w.ends[0].fromOwn)+len(w.ends[1].fromOwn)+len(w.ends[0].toOwn)+len(w.ends[1].toOwn)+len(w.ends[0].fromFar)+len(w.ends[1].fromFar) == 0 {
+				if count > 1 && nw.ends[0].switchAnswered[cic] && nw.ends[1].switchAnswered[cic] &&
+					len(nw.ends[0].toFar)+len(nw.ends[1].toFar)+len(nw.ends[0].fromOwn)+len(nw.ends[1].fromOwn)+len(nw.ends[0].toOwn)+len(nw.ends[1].toOwn)+len(nw.ends[0].fromFar)+len(nw.ends[1].fromFar) == 0 {
 					t.Fatalf("two calls stand on circuit %d", cic)
 				}
 			}
 		}
-		w.settle(false)
-		for _, e := range w.ends { // all callers leave
+		nw.settle(false)
+		for _, e := range nw.ends { // all callers leave
 			for cic := uint16(1); cic <= uint16(n); cic++ {
 				if s, call := e.g.Circuit(cic); s == Outgoing && call != 0 {
 					e.g.Release(cic, isup.CauseNormal, 0)
-					e.acts()
+					e.performActions()
 				}
 			}
 		}
-		w.settle(true)
+		nw.settle(true)
 		for range 2 { // an audit, as after an association has come again, finds what is still left
-			for _, e := range w.ends {
+			for _, e := range nw.ends {
 				e.g.Sync()
 				e.g.SyncOwn()
-				e.acts()
+				e.performActions()
 			}
-			w.settle(true)
+			nw.settle(true)
 		}
-		for i, e := range w.ends {
-			if e.g.Free() != n || len(e.sw) != 0 {
-				t.Fatalf("end %d: %d of %d circuits free, switch has %v", i, e.g.Free(), n, e.sw)
+		for i, e := range nw.ends {
+			if e.g.Free() != n || len(e.switchCalls) != 0 {
+				t.Fatalf("end %d: %d of %d circuits free, switch has %v", i, e.g.Free(), n, e.switchCalls)
 			}
 		}
 	})
@@ -590,7 +590,7 @@
 
 func BenchmarkSeizeRelease(b *testing.B) {
 	for _, n := range []int{30, 4000} {
-		g := group(b, 1, 2, n)
+		g := newGroup(b, 1, 2, n)
 		b.ReportAllocs()
 		for b.Loop() {
 			cic, _ := g.Seize(1)
