--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,9 +1,9 @@
-// Package admission decides, before anything costs much, which calls of which client may come in: set-ups a second and open calls
-// for each client and for all, shared fairly between clients when the whole is short. It does no I/O and reads no clock; it
-// says what it kept and why.
+// Package admission limits the set-ups per second and the open calls of each client and of all clients together. When a
+// total limit is reached, it is shared between the clients by max-min fairness. The check comes before a call costs
+// noticeable work. The package does no I/O and reads no clock.
 //
-// The limits are the operators'. What calls a controller can serve is the module's to find out; this is the door in front of
-// it, so that one client's flood costs that client, and the others the least.
+// The limits are set by operators. How many calls the controller can serve is estimated by package policy, which sees only
+// admitted calls. Admission makes sure that a client that floods the controller is itself refused, and others hardly.
 package admission
 
 import (
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Limits are those of one client, and of all together. Zero: no limit.
+// Limits are the limits of one client or of all clients together. Zero means no limit.
 type Limits struct {
-	Rate  float64 // set-ups a second
-	Burst float64 // set-ups at once; 0: those of one second
+	Rate  float64 // set-ups per second
+	Burst float64 // set-ups at once; 0: as many as Rate allows in one second
 	Open  int     // open calls
 }
 
@@ -25,32 +25,32 @@
 	return max(1, l.Rate)
 }
 
-// Config is the limits of a door.
+// Config is the configuration of a Limiter.
 type Config struct {
-	Client Limits // each client's
-	All    Limits
+	Client Limits // limits of each client
+	All    Limits // limits of all clients together
 }
 
-// Decision is why a call is kept out, or Admitted.
+// Decision is Admitted, or the limit because of which a call is refused.
 type Decision uint8
 
 // The decisions.
 const (
 	Admitted   Decision = iota
-	ClientRate          // the client's own rate
-	ClientOpen          // the client's own open calls
-	TotalRate           // the whole is short and the client is beyond its fair part
-	TotalOpen
+	ClientRate          // the client's rate limit
+	ClientOpen          // the client's limit of open calls
+	TotalRate           // the rate limit of all, and the client has used its fair share
+	TotalOpen           // the limit of open calls of all, and the client has at least an equal share of them
 )
 
 func (d Decision) String() string {
 	return [...]string{"in", "client's rate", "client's open calls", "rate of all", "open calls of all"}[d]
 }
 
-// bucket is a token bucket: tokens come at a rate up to a burst.
+// bucket is a token bucket: it is filled at a rate up to a burst.
 type bucket struct {
 	tokens float64
-	filled time.Duration
+	filled time.Duration // time of the last fill
 }
 
 func (b *bucket) fill(now time.Duration, rate, burst float64) {
@@ -60,29 +60,29 @@
 	b.filled = now
 }
 
-// Client is one client's account.
+// Client is the account of one client.
 type Client struct {
-	own        bucket
-	demand     float64 // set-ups a second that it asks for, decayed
-	refused    float64 // ... and of them those that are kept out
-	decayed    time.Duration
-	fairBucket bucket // its part of the whole
+	own        bucket        // for Config.Client.Rate
+	demand     float64       // offered set-ups per second, exponentially decayed
+	refused    float64       // refused set-ups per second, decayed likewise
+	decayed    time.Duration // time of the last decay
+	fairBucket bucket        // for the client's fair share of Config.All.Rate
 	open       int
-	Decisions  [5]uint64 // calls by decision
-	level      int
+	Decisions  [5]uint64 // set-ups by decision
+	level      int       // congestion level that Level returned last
 }
 
-// Limiter admits calls. It belongs to one goroutine.
+// Limiter admits or refuses calls. It is not safe for concurrent use.
 type Limiter struct {
 	cfg         Config
 	clients     map[*Client]bool
 	totalBucket bucket
 	open        int
-	share       float64 // fair part of the whole for each client, set-ups a second; infinite while there is enough
-	nextUpdate  time.Duration
+	share       float64       // fair share of each client in set-ups per second; infinite while the total demand is within the limit
+	nextUpdate  time.Duration // time of the next update of share
 }
 
-// New makes a door.
+// New returns a Limiter without clients.
 func New(cfg Config) *Limiter {
 	return &Limiter{cfg: cfg, clients: map[*Client]bool{}, totalBucket: bucket{tokens: cfg.All.burst()}, share: math.Inf(1)}
 }
@@ -94,7 +94,7 @@
 	return c
 }
 
-// RemoveClient takes a client out, and its open calls with it.
+// RemoveClient removes a client. Its open calls no longer count.
 func (l *Limiter) RemoveClient(c *Client) {
 	if l.clients[c] {
 		delete(l.clients, c)
@@ -103,16 +103,16 @@
 	}
 }
 
-// Demand is measured over demandTimeConstant, parts are dealt out anew each shareInterval. A client may have fairBurstSpan calls of its part in hand,
-// and never fewer than a few: calls come by chance, and a small client's two in one second are no flood.
 const (
-	demandTimeConstant = 4 * time.Second
-	shareInterval      = 100 * time.Millisecond
-	fairBurstSpan      = time.Second
-	minFairBurst       = 4
+	demandTimeConstant = 4 * time.Second        // of the exponential decay of demand and refusals
+	shareInterval      = 100 * time.Millisecond // between updates of the fair share
+	fairBurstSpan      = time.Second            // a client may save up its fair share of this span
+	// minFairBurst is the least burst, in calls, within a client's fair share. Arrivals are random: two calls of a small
+	// client within one second are no flood.
+	minFairBurst = 4
 )
 
-// Admit judges one set-up of a client. Admitted: the call counts as open until Done.
+// Admit decides about one set-up of a client. An admitted call counts as open until Done.
 func (l *Limiter) Admit(c *Client, now time.Duration) Decision {
 	decision := l.decide(c, now)
 	c.Decisions[decision]++
@@ -137,7 +137,7 @@
 		return ClientOpen
 	}
 	if all.Open > 0 && l.open >= all.Open && c.open*len(l.clients) >= all.Open {
-		return TotalOpen // beyond its part; those within theirs still come in
+		return TotalOpen // clients below an equal share are still admitted, beyond the limit of all
 	}
 	if own.Rate > 0 {
 		c.own.fill(now, own.Rate, own.burst())
@@ -149,7 +149,7 @@
 		l.totalBucket.fill(now, all.Rate, all.burst())
 		c.fairBucket.fill(now, min(l.share, all.Rate), max(minFairBurst, min(l.share, all.Rate)*fairBurstSpan.Seconds()))
 		switch {
-		case c.fairBucket.tokens >= 1: // within its part: the whole owes it that
+		case c.fairBucket.tokens >= 1: // within its fair share: admitted even if the bucket of all is empty
 			c.fairBucket.tokens--
 		case l.totalBucket.tokens < 1 || !math.IsInf(l.share, 1):
 			return TotalRate
@@ -162,7 +162,7 @@
 	return Admitted
 }
 
-// Done notes that a call that came in is over.
+// Done records that an admitted call has ended.
 func (l *Limiter) Done(c *Client) {
 	if c.open > 0 {
 		c.open--
@@ -178,8 +178,8 @@
 	}
 }
 
-// updateFairShare finds the fair part: the highest cap that, kept by every client, fits into the whole (max-min fairness). Its cost
-// is that of the clients, ten times a second at the most.
+// updateFairShare computes the max-min fair share: the highest rate per client with which the demand of all clients, each
+// capped at this rate, fits the limit of all. The cost is linear in the number of clients, at most ten times per second.
 func (l *Limiter) updateFairShare(now time.Duration) {
 	l.share = math.Inf(1)
 	if l.cfg.All.Rate <= 0 {
@@ -194,7 +194,7 @@
 	if total <= l.cfg.All.Rate {
 		return
 	}
-	// Those who ask for less than the cap leave the rest to the others: a few rounds settle it.
+	// Clients with a demand below the share leave the remainder to the others. The iteration converges in a few rounds.
 	capacity, share := l.cfg.All.Rate, 0.0
 	for range 16 {
 		share = capacity
@@ -220,9 +220,9 @@
 	}
 }
 
-// Level is the congestion level that a client is told (SCON, RFC 4666, 3.4.4): 0 while next to nothing of its calls of the
-// last seconds is kept out, 1 while less than a third, 2 while less than two, 3 beyond. changed tells that it is not the
-// level told last.
+// Level returns the congestion level to be sent to a client in SCON (RFC 4666, 3.4.4). It follows the share of the client's
+// set-ups that were refused within the last seconds: 0 up to 2 % or below 0.02 refusals per second, 1 below one third,
+// 2 below two thirds, otherwise 3. changed reports whether the level differs from that of the previous call.
 func (l *Limiter) Level(c *Client, now time.Duration) (level int, changed bool) {
 	c.decay(now)
 	switch share := c.refused / max(c.demand, 1e-9); {
@@ -240,5 +240,5 @@
 	return level, changed
 }
 
-// Open is the number of a client's open calls.
+// Open returns the number of the client's open calls.
 func (c *Client) Open() int { return c.open }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -9,10 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases at every run; other seeds by hand: go test -args -rapid.seed=N -rapid.checks=N.
+// A fixed seed makes every run check the same cases. For others: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
-// offerCalls lets clients ask at their rates for a while, in steps of a millisecond, and counts who gets in each second.
+// offerCalls lets clients offer set-ups at their rates for a span of simulated time, in steps of 1 ms, and returns the
+// admitted set-ups per second of each client in the second half of the span. Each admitted call lasts for hold.
 func offerCalls(limiter *Limiter, rates []float64, span time.Duration, hold time.Duration) []float64 {
 	clients := make([]*Client, len(rates))
 	due := make([]float64, len(rates))
@@ -33,7 +34,7 @@
 		for i, r := range rates {
 			for due[i] += r / 1000; due[i] >= 1; due[i]-- {
 				if limiter.Admit(clients[i], now) == Admitted {
-					if now > span/2 { // once it has settled
+					if now > span/2 { // the shares have settled
 						admitted[i]++
 					}
 					ends = append(ends, end{now + hold, clients[i]})
@@ -47,61 +48,64 @@
 	return admitted
 }
 
-// One client floods at ten times its share; nine others get all that they ask for.
-func TestFloodCostsItself(t *testing.T) {
+// One client offers ten times its fair share. Guards against refusals of the nine others, which stay within theirs.
+func TestFloodingClientIsCappedAndOthersAreAdmitted(t *testing.T) {
 	rates := []float64{1000, 100, 100, 100, 100, 100, 100, 100, 100, 100}
 	admitted := offerCalls(New(Config{All: Limits{Rate: 1000}}), rates, 24*time.Second, time.Second)
 	sum := 0.0
 	for i, v := range admitted {
 		sum += v
 		if i > 0 && v < 97 {
-			t.Errorf("client %d gets %.0f of 100", i, v)
+			t.Errorf("client %d: %.0f of 100 set-ups per second admitted, want at least 97", i, v)
 		}
 	}
 	if sum > 1050 || admitted[0] < 60 || admitted[0] > 140 {
-		t.Errorf("%.0f in all, %.0f of the flood", sum, admitted[0])
+		t.Errorf("%.0f set-ups per second admitted in all, want at most 1050, and %.0f of the flooding client, want 60 to 140", sum, admitted[0])
 	}
 }
 
-func TestOwnLimits(t *testing.T) {
+// Each client's own limits of rate and open calls hold without any limit of all clients.
+func TestClientLimitsWithoutTotalLimits(t *testing.T) {
 	admitted := offerCalls(New(Config{Client: Limits{Rate: 50, Burst: 10}}), []float64{500, 20}, 10*time.Second, 0)
 	if admitted[0] < 48 || admitted[0] > 52 || admitted[1] < 19.5 {
-		t.Errorf("%.1f", admitted)
+		t.Errorf("admitted per second: %.1f, want 48 to 52 and at least 19.5", admitted)
 	}
 	d := New(Config{Client: Limits{Open: 5}})
 	c := d.AddClient(0)
 	for i := range 10 {
 		if v := d.Admit(c, time.Second); (v == Admitted) != (i < 5) || i >= 5 && v != ClientOpen {
-			t.Fatalf("call %d: %v", i, v)
+			t.Fatalf("call %d: decision %v with a limit of 5 open calls", i, v)
 		}
 	}
 	d.Done(c)
 	if d.Admit(c, time.Second) != Admitted {
-		t.Error("a place that came free is not given")
+		t.Error("a set-up was refused although a call had ended")
 	}
 	d.RemoveClient(c)
 	d.RemoveClient(c)
 	if d.open != 0 {
-		t.Errorf("%d open", d.open)
+		t.Errorf("%d open calls after the client was removed, want 0", d.open)
 	}
 }
 
-// When open calls of all are short, one who holds more than its part gets no more, and the others do.
-func TestOpenCallsAreShared(t *testing.T) {
+// At the limit of open calls of all, a client with more than an equal share is refused. Guards against a client that takes
+// all of them and shuts out the others.
+func TestTotalOpenLimitAdmitsClientBelowShare(t *testing.T) {
 	d := New(Config{All: Limits{Open: 100}})
 	greedy, other := d.AddClient(0), d.AddClient(0)
 	for range 200 {
 		d.Admit(greedy, time.Second)
 	}
 	if greedy.Open() != 100 {
-		t.Errorf("%d open with nobody else there", greedy.Open())
+		t.Errorf("%d open calls while the other client has none, want 100", greedy.Open())
 	}
 	if d.Admit(other, time.Second) != Admitted || d.Admit(greedy, time.Second) != TotalOpen {
-		t.Error("the greedy one keeps the other out")
+		t.Error("the client with all open calls was admitted or the other one refused")
 	}
 }
 
-func TestLevels(t *testing.T) {
+// The congestion level follows the refused share of a client's set-ups, and a change of level is reported once.
+func TestCongestionLevelFollowsRefusedShare(t *testing.T) {
 	d := New(Config{Client: Limits{Rate: 100, Burst: 10}})
 	c := d.AddClient(0)
 	now := time.Duration(0)
@@ -117,19 +121,19 @@
 	}{{90, 0}, {130, 1}, {200, 2}, {1000, 3}} {
 		admitAt(x.rate, 20*time.Second)
 		if l, _ := d.Level(c, now); l != x.want {
-			t.Errorf("at %v a second level %d, want %d", x.rate, l, x.want)
+			t.Errorf("at %v set-ups per second: level %d, want %d", x.rate, l, x.want)
 		}
 	}
 	if _, changed := d.Level(c, now); changed {
-		t.Error("told twice")
+		t.Error("an unchanged level was reported as changed")
 	}
 	if l, changed := d.Level(c, now+60*time.Second); l != 0 || !changed {
-		t.Errorf("level %d long after", l)
+		t.Errorf("level %d without a change reported 60 s after the last set-up, want 0 and a change", l)
 	}
 }
 
-// Whatever the clients ask for: the whole is kept, nobody within the fair part is cut, and nothing is left unused that
-// somebody wants.
+// For any rates of the clients, the limit of all holds, no client gets less than its max-min fair share, and no capacity
+// is unused while a client could use it.
 func TestFairness(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rates := rapid.SliceOfN(rapid.Float64Range(1, 400), 1, 8).Draw(t, "rates")
@@ -141,12 +145,12 @@
 			got += admitted[i]
 		}
 		if got > 1.1*limit+2 {
-			t.Fatalf("%.0f of %.0f come in: %v of %v", got, limit, admitted, rates)
+			t.Fatalf("admitted %.0f set-ups per second, limit %.0f: %v of %v", got, limit, admitted, rates)
 		}
 		if want := min(total, limit); got < 0.85*want-2 {
-			t.Fatalf("%.0f come in where %.0f could: %v of %v", got, want, admitted, rates)
+			t.Fatalf("admitted %.0f set-ups per second where %.0f fit: %v of %v", got, want, admitted, rates)
 		}
-		// The fair part by water filling.
+		// Reference: the fair share by progressive filling.
 		share, left, unfilled := math.Inf(1), limit, append([]float64(nil), rates...)
 		if total > limit {
 			for {
@@ -168,7 +172,7 @@
 		}
 		for i, r := range rates {
 			if want := min(r, share); admitted[i] < 0.85*want-2 {
-				t.Fatalf("client %d gets %.1f of its fair %.1f: %v of %v, limit %.0f", i, admitted[i], want, admitted, rates, limit)
+				t.Fatalf("client %d: admitted %.1f, fair share %.1f: %v of %v, limit %.0f", i, admitted[i], want, admitted, rates, limit)
 			}
 		}
 	})
--- a/trunk/trunk.go
+++ b/trunk/trunk.go
@@ -1,8 +1,8 @@
-// Package trunk keeps the circuits of one trunk group as one end sees them: which are seized and by whom, dual seizure,
-// release, blocking, reset and query by Q.764. It does no I/O: calls and messages go in, acts come out.
+// Package trunk tracks the circuits of one trunk group as seen from one end: seizure, dual seizure, release, blocking,
+// reset and circuit group query according to Q.764. It does no I/O: calls and messages go in, Actions come out.
 //
-// The two ends of a group share its circuits. The own end's seizures are made here; those of the far end are learnt
-// from the own switch, which passes on what it receives on a circuit (see docs/design/controller.md).
+// The two ends of a group share its circuits. Seizures by the own end are made here. Seizures by the far end are reported
+// by the own switch, which passes on the messages that it receives on a circuit (see docs/design/controller.md).
 package trunk
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/umbergauge/umbergauge/isup"
 )
 
-// Timers of the circuits, by their names in Q.764, annex A. Zero values are replaced by the defaults in brackets.
+// Timers are the circuit timers, named as in Q.764, annex A. Zero values are replaced by the defaults in brackets.
 type Timers struct {
-	T1  time.Duration // REL without RLC is sent again (15 s)
-	T5  time.Duration // ... and after this the circuit is reset (5 min)
-	T16 time.Duration // RSC or GRS without an answer is sent again (15 s)
-	T28 time.Duration // CQM without CQR is sent again (10 s)
-	// SignallingHold is how long standing calls outlive the loss of signalling towards the far end, before they count as cut (10 s).
+	T1  time.Duration // REL is retransmitted if no RLC has come (15 s)
+	T5  time.Duration // the circuit is reset if no RLC has come (5 min)
+	T16 time.Duration // RSC is retransmitted if it is not answered (15 s)
+	T28 time.Duration // CQM is retransmitted if no CQR has come (10 s)
+	// SignallingHold is how long established calls are kept after signalling to the far end is lost (10 s).
 	SignallingHold time.Duration
 }
 
@@ -36,38 +36,38 @@
 	return t
 }
 
-// State is the state of a circuit.
+// State is the state of a circuit as seen from this end.
 type State uint8
 
-// The states.
+// The states of a circuit.
 const (
 	Idle      State = iota
 	Outgoing        // seized here
 	Incoming        // seized by the far end
 	Releasing       // REL sent, RLC awaited
-	Resetting       // RSC or GRS sent, its answer awaited
+	Resetting       // RSC sent, its answer awaited
 )
 
 func (s State) String() string {
 	return [...]string{"idle", "outgoing", "incoming", "releasing", "resetting"}[s]
 }
 
-// Reason tells how a call lost its circuit.
+// Reason is why a call lost its circuit.
 type Reason uint8
 
-// The reasons.
+// The reasons for CircuitLost.
 const (
-	DualSeizure     Reason = iota // dual seizure: the far end controls the circuit
-	CircuitReset                  // RSC, GRS, or the far end knows nothing of the call
-	HardwareBlocked               // blocked for hardware failure
-	SignallingLost                // signalling to the far end is lost
+	DualSeizure     Reason = iota // dual seizure of a circuit that the far end controls
+	CircuitReset                  // RSC or GRS was received, or the far end does not know the call
+	HardwareBlocked               // the circuit was blocked because of a hardware failure
+	SignallingLost                // signalling to the far end was lost
 )
 
 func (r Reason) String() string {
 	return [...]string{"dual seizure", "circuit reset", "hardware failure", "signalling lost"}[r]
 }
 
-// Action is something to be done for a group: one of the types below.
+// Action is something that the owner of a Group has to do for it: a SendToFar, SendToOwn, CircuitLost or StartTimer.
 type Action interface{ isAction() }
 
 type (
@@ -75,14 +75,14 @@
 	SendToFar struct{ Msg isup.Message }
 	// SendToOwn sends a message about the group's circuits to the own switch.
 	SendToOwn struct{ Msg isup.Message }
-	// CircuitLost tells that a call has lost its circuit; the group has already dealt with the circuit.
+	// CircuitLost reports that a call has lost its circuit. The group has already updated the circuit.
 	CircuitLost struct {
 		Call       uint64
 		CIC        uint16
-		SeizedHere bool // it was seized here
+		SeizedHere bool // the circuit was seized by the own end
 		Reason     Reason
 	}
-	// StartTimer asks to be handed back to Group.TimerExpired after the given time.
+	// StartTimer asks for a call of Group.TimerExpired with TimerID after the given time.
 	StartTimer struct {
 		After   time.Duration
 		TimerID TimerID
@@ -94,11 +94,11 @@
 func (CircuitLost) isAction() {}
 func (StartTimer) isAction()  {}
 
-// TimerID is the content of an Alarm.
+// TimerID identifies a timer of a StartTimer action.
 type TimerID struct {
 	CIC  uint16 // 0: the whole group
 	Kind timerKind
-	Gen  uint32
+	Gen  uint32 // generation of the circuit or group when the timer was started; another one makes the timer stale
 }
 
 type timerKind uint8
@@ -107,52 +107,55 @@
 	timerRelease timerKind = iota // T1
 	timerReset                    // T16
 	timerQuery                    // T28
-	timerHold                     // Hold
+	timerHold                     // SignallingHold
 )
 
 type circuit struct {
 	state           State
 	answered        bool
 	blockedByFar    bool // by BLO or CGB of the far end
-	hardwareBlocked bool // by CGB for hardware failure
-	blockedHere     bool // by the own operators
-	inIdleList      bool // in the list of idle circuits
-	next, prev      uint16
-	gen             uint32 // counts changes of state, so that old alarms are known
+	hardwareBlocked bool // by CGB with the hardware failure indication
+	blockedHere     bool // by the operators of this end
+	inIdleList      bool
+	next, prev      uint16 // in the idle list; 0: none
+	gen             uint32 // counts changes of state, so that stale timers are recognised
 	retransmissions int
 	call            uint64
 }
 
 // Group is one trunk group. It is not safe for concurrent use.
 type Group struct {
-	Actions []Action // what is to be done; the owner takes them and cuts the slice
+	Actions []Action // pending actions; the owner carries them out and truncates the slice
 
 	timers   Timers
 	self     uint32
 	far      uint32
 	circuits []circuit // by CIC, from 1
-	// Idle circuits: those that the own end controls, the longest idle first, and the others, the latest first, so that
-	// the two ends meet on the same circuit last (Q.764, 2.9.1.3, method 2).
+	// Idle lists of the circuits controlled by the own end, longest idle first, and of those controlled by the far end,
+	// most recently idle first. The two ends thereby select the same circuit only when hardly any other is idle
+	// (Q.764, 2.9.1.3, method 2).
 	head, tail [2]uint16
 	free       int
 	inService  int // circuits that are not blocked
 	inSync     bool
-	gen        uint32 // of queries
-	queries    map[uint16]int
+	gen        uint32         // counts calls of Down and Sync, so that stale timers of the group are recognised
+	queries    map[uint16]int // outstanding CQM: first circuit to number of circuits
 
-	// Counters, for the operators.
+	// Counters shown to operators. Leaks counts circuits that were busy or idle at one end only.
 	DualSeizures, Resets, Leaks int
 }
 
+// Indexes of the two idle lists.
 const (
 	ownControlled = iota
 	farControlled
 )
 
-// New makes a group of circuits 1 to size between the point codes self and far. It is in use after Sync.
+// New returns a group of circuits 1 to size between the point codes self and far. Circuits can be seized once Sync has
+// been answered.
 func New(timers Timers, self, far uint32, size int) (*Group, error) {
 	if size < 1 || size > isup.MaxCIC {
-		return nil, fmt.Errorf("trunk: a group of %d circuits; 1 to %d can be", size, isup.MaxCIC)
+		return nil, fmt.Errorf("trunk: invalid group size: %d circuits, want 1 to %d", size, isup.MaxCIC)
 	}
 	g := &Group{timers: timers.withDefaults(), self: self, far: far, circuits: make([]circuit, size+1), queries: map[uint16]int{}}
 	g.inService = size
@@ -162,8 +165,8 @@
 	return g, nil
 }
 
-// controlledHere tells whether the own end controlledHere a circuit: the exchange with the higher point code has the even ones, the
-// other the odd ones (Q.764, 2.9.1.4).
+// controlledHere reports whether the own end controls a circuit: the exchange with the higher point code controls the even
+// circuits, the other one the odd circuits (Q.764, 2.9.1.4).
 func (g *Group) controlledHere(cic uint16) bool { return (g.self > g.far) == (cic%2 == 0) }
 
 func (g *Group) idleListOf(cic uint16) int {
@@ -173,7 +176,7 @@
 	return farControlled
 }
 
-// addIdle puts a circuit into the idle addIdle if it may be seized.
+// addIdle puts a circuit into its idle list if it may be seized.
 func (g *Group) addIdle(cic uint16) {
 	c := &g.circuits[cic]
 	if c.inIdleList || c.state != Idle || c.blockedByFar || c.blockedHere || c.hardwareBlocked {
@@ -244,10 +247,10 @@
 
 func (g *Group) hasCircuit(cic uint16) bool { return cic >= 1 && int(cic) < len(g.circuits) }
 
-// Far is the point code of the other end.
+// Far returns the point code of the far end.
 func (g *Group) Far() uint32 { return g.far }
 
-// Free is the number of circuits that a call can seize now, Size that of circuits in service.
+// Free returns the number of circuits that a call can seize now.
 func (g *Group) Free() int {
 	if !g.inSync {
 		return 0
@@ -255,13 +258,13 @@
 	return g.free
 }
 
-// Size is the number of circuits that are not blocked.
+// Size returns the number of circuits in service, that is, not blocked.
 func (g *Group) Size() int { return g.inService }
 
-// InSync tells whether both ends have agreed on their circuits since signalling came up.
+// InSync reports whether the far switch has answered all circuit queries since signalling came up.
 func (g *Group) InSync() bool { return g.inSync }
 
-// Circuit tells the state of a circuit and the call on it.
+// Circuit returns the state of a circuit and the call on it.
 func (g *Group) Circuit(cic uint16) (State, uint64) {
 	if !g.hasCircuit(cic) {
 		return Idle, 0
@@ -269,7 +272,7 @@
 	return g.circuits[cic].state, g.circuits[cic].call
 }
 
-// Count is the number of circuits in a state.
+// Count returns the number of circuits in a state.
 func (g *Group) Count(s State) int {
 	n := 0
 	for i := range g.circuits[1:] {
@@ -280,7 +283,7 @@
 	return n
 }
 
-// Seize takes an idle circuit for a call; ok is false if there is none.
+// Seize seizes an idle circuit for a call; ok is false if there is none.
 func (g *Group) Seize(call uint64) (cic uint16, ok bool) {
 	if !g.inSync {
 		return 0, false
@@ -295,13 +298,13 @@
 	return cic, true
 }
 
-// Unseize gives back a circuit whose IAM was never sent.
+// Unseize makes a circuit idle again whose IAM was never sent.
 func (g *Group) Unseize(cic uint16) { g.setState(cic, Idle, 0) }
 
-// Answered notes that the call on a circuit seized here stands.
+// Answered records that the call on a circuit seized here is established.
 func (g *Group) Answered(cic uint16) { g.circuits[cic].answered = true }
 
-// Release ends the call on a circuit seized here: REL goes out, and the circuit is taken until RLC has come.
+// Release ends the call on a circuit seized here: it sends REL, and the circuit stays busy until RLC is received.
 func (g *Group) Release(cic uint16, cause isup.Cause, loc isup.Location) {
 	g.setState(cic, Releasing, 0)
 	g.emit(SendToFar{isup.Message{Type: isup.REL, CIC: cic, Cause: cause, Location: loc}})
@@ -312,17 +315,17 @@
 	g.emit(SendToFar{isup.Message{Type: isup.REL, CIC: cic, Cause: cause, Location: isup.LocationNetwork}})
 }
 
-// SeizureResult is what is made of a seizure by the far end.
+// SeizureResult is the outcome of a seizure by the far end.
 type SeizureResult uint8
 
-// The verdicts.
+// The outcomes of FarSeized.
 const (
 	SeizureAccepted    SeizureResult = iota // the far end's call has the circuit
-	SeizureDisregarded                      // dual seizure on a circuit that we control: it is disregarded (Q.764, 2.9.1.4)
+	SeizureDisregarded                      // dual seizure of a circuit that the own end controls (Q.764, 2.9.1.4)
 	SeizureInvalid                          // the circuit does not exist
 )
 
-// FarSeized takes an IAM of the far end, as the own switch passes it on.
+// FarSeized handles an IAM of the far end that the own switch has passed on.
 func (g *Group) FarSeized(cic uint16, call uint64) SeizureResult {
 	if !g.hasCircuit(cic) {
 		return SeizureInvalid
@@ -330,38 +333,39 @@
 	c := &g.circuits[cic]
 	switch c.state {
 	case Outgoing:
-		// Dual seizure. The end that controls the circuit goes on, the other yields (Q.764, 2.9.1.4): also with an answer at
-		// hand, for word of the far end's seizure may come late.
+		// Dual seizure. The call of the end that controls the circuit continues, the other end yields (Q.764, 2.9.1.4),
+		// even if its call has been answered already: the notification of the far end's seizure may arrive late.
 		g.DualSeizures++
 		if g.controlledHere(cic) {
 			g.emit(SendToOwn{isup.Message{Type: isup.RSC, CIC: cic}})
 			return SeizureDisregarded
 		}
-		// The far switch has our IAM, and its controller may never have seen the two meet: it is told that the call is over,
-		// so that no second attempt can meet the first.
+		// The far switch has received our IAM, and its controller may not have noticed the dual seizure. The REL ends
+		// our call there, so that a second attempt of the same call cannot overlap with this one.
 		g.sendREL(cic, isup.CauseTemporary)
 		g.emit(CircuitLost{c.call, cic, true, DualSeizure})
 		g.setState(cic, Incoming, call)
 		return SeizureAccepted
-	case Incoming: // the far end has cleared its last call there, and word of that is lost
+	case Incoming: // the far end has released its previous call on the circuit, and that notification was lost
 		g.reportLost(cic, CircuitReset)
 		g.setState(cic, Incoming, call)
 		return SeizureAccepted
 	default:
-		// The far end takes a circuit as idle only after it has heard the release or reset: our RLC is lost or on its way.
+		// The far end considers the circuit idle only after it has received our release or reset, so the RLC that we
+		// are waiting for is lost or still in transit.
 		g.setState(cic, Incoming, call)
 		return SeizureAccepted
 	}
 }
 
-// FarReleased notes that the own switch saw the call of the far end on a circuit end.
+// FarReleased records that the far end's call on a circuit has ended, as reported by the own switch.
 func (g *Group) FarReleased(cic uint16) {
 	if g.hasCircuit(cic) && g.circuits[cic].state == Incoming {
 		g.setState(cic, Idle, 0)
 	}
 }
 
-// reportLost tells the call on a circuit that it has lost it.
+// reportLost emits CircuitLost for the call on a circuit, if there is one.
 func (g *Group) reportLost(cic uint16, reason Reason) {
 	if c := &g.circuits[cic]; c.call != 0 && (c.state == Outgoing || c.state == Incoming) {
 		g.emit(CircuitLost{c.call, cic, c.state == Outgoing, reason})
@@ -369,25 +373,25 @@
 	}
 }
 
-// resetCircuit sends RSC for a circuit and awaits its RLC.
+// resetCircuit sends RSC for a circuit, which stays busy until RLC is received.
 func (g *Group) resetCircuit(cic uint16) {
 	g.setState(cic, Resetting, 0)
 	g.sendFar(isup.RSC, cic)
 	g.startTimer(g.timers.T16, cic, timerReset)
 }
 
-// FromFar takes a message of the far switch about circuits: RLC, REL, all of supervision, and the answers to a set-up
-// where no call of the owner's is on the circuit. Answers to its calls are the owner's.
+// FromFar handles a message of the far switch about circuits: RLC, REL, circuit supervision, and the responses to a set-up
+// (ACM, CPG, ANM, CON) on a circuit that carries no call of the owner. Responses to its own calls are handled by the owner.
 func (g *Group) FromFar(m *isup.Message) {
 	if !g.hasCircuit(m.CIC) && !isGroupMessage(m.Type) {
 		return
 	}
-	c := &g.circuits[0] // nobody's; a group message may begin below or end beyond the circuits that there are
+	c := &g.circuits[0] // never in use; the range of a group message may begin or end outside the group's circuits
 	if g.hasCircuit(m.CIC) {
 		c = &g.circuits[m.CIC]
 	}
 	switch m.Type {
-	case isup.REL: // of a call that we know nothing of, or crossing our own REL
+	case isup.REL: // of a call that is unknown here, or crossing our own REL
 		g.sendFar(isup.RLC, m.CIC)
 		if c.state == Outgoing {
 			g.setState(m.CIC, Idle, 0)
@@ -397,7 +401,7 @@
 			g.setState(m.CIC, Idle, 0)
 		}
 	case isup.ACM, isup.CPG, isup.ANM, isup.CON:
-		if c.state == Idle { // it holds a call that we know nothing of (Q.764, 2.9.5.1 b)
+		if c.state == Idle { // the far switch has a call that is unknown here (Q.764, 2.9.5.1 b)
 			g.Leaks++
 			g.resetCircuit(m.CIC)
 		}
@@ -424,7 +428,7 @@
 				g.setState(cic, Idle, 0)
 			}
 		}
-	case isup.RSC: // the far switch has lost the call that we have there
+	case isup.RSC: // the far switch has lost its state of our call
 		g.Resets++
 		g.reportLost(m.CIC, CircuitReset)
 		if c.state != Incoming {
@@ -442,7 +446,7 @@
 	}
 }
 
-// isGroupMessage tells that a message names a range of circuits.
+// isGroupMessage reports whether messages of a type apply to a range of circuits.
 func isGroupMessage(t isup.Type) bool {
 	switch t {
 	case isup.GRS, isup.GRA, isup.CGB, isup.CGU, isup.CGBA, isup.CGUA, isup.CQM, isup.CQR:
@@ -451,16 +455,17 @@
 	return false
 }
 
-// FromOwn takes a message that the own switch passes on from the far controller, or its own answer to a query. The own
-// switch has answered the far end itself.
+// FromOwn handles a message of the far controller that the own switch has passed on, or the own switch's response to a
+// query. The own switch has already acknowledged messages of the far controller.
 func (g *Group) FromOwn(m *isup.Message) {
 	if !g.hasCircuit(m.CIC) && !isGroupMessage(m.Type) {
 		return
 	}
 	switch m.Type {
 	case isup.REL:
-		// The own switch answers for calls that end with it. One in transit ends here: until this RLC the far end may not
-		// take the circuit again, or an answer of ours still under way would meet its next call.
+		// The own switch answers the REL of a call that terminates at it, but not that of a transit call, whose RLC is
+		// sent here. The far end must not seize the circuit again before this RLC, or a response of ours that is still
+		// in transit would be taken for one to its next call.
 		if c := &g.circuits[m.CIC]; c.state == Incoming && c.call != 0 || c.state == Idle {
 			g.emit(SendToOwn{isup.Message{Type: isup.RLC, CIC: m.CIC}})
 		}
@@ -483,7 +488,7 @@
 		g.forEachMarked(m, func(cic uint16) {
 			hardware := m.Supervision == isup.Hardware
 			if hardware && m.Type == isup.CGB && g.circuits[cic].state == Outgoing {
-				// The far switch may not know: it is told that our call is over, before another attempt is made.
+				// The far switch may not know of the failure: our call there is released before another attempt is made.
 				g.reportLost(cic, HardwareBlocked)
 				g.Release(cic, isup.CauseTemporary, isup.LocationNetwork)
 			}
@@ -494,7 +499,7 @@
 	}
 }
 
-// resetByFar takes what the far controller has reset: its own call on the circuit, or ours that it wants gone.
+// resetByFar handles a reset by the far controller. It ends the call on the circuit, whichever end seized it.
 func (g *Group) resetByFar(cic uint16) {
 	c := &g.circuits[cic]
 	g.Resets++
@@ -508,6 +513,7 @@
 	}
 }
 
+// forEachMarked calls f for each circuit of the group whose bit is set in the status field of a group message.
 func (g *Group) forEachMarked(m *isup.Message, f func(uint16)) {
 	for i := 0; i <= int(m.Range); i++ {
 		if cic := m.CIC + uint16(i); m.Status[i/8]>>(i%8)&1 == 1 && g.hasCircuit(cic) {
@@ -516,7 +522,7 @@
 	}
 }
 
-// setBlocked blocks or unblocks a circuit for the far end. Hardware failure ends the call on it (Q.764, 2.8.2.2).
+// setBlocked blocks or unblocks a circuit on behalf of the far end. A hardware failure ends the call on it (Q.764, 2.8.2.2).
 func (g *Group) setBlocked(cic uint16, blocked, hardware bool) {
 	c := &g.circuits[cic]
 	wasUsable := g.usable(c)
@@ -532,10 +538,12 @@
 	g.updateIdleList(cic, wasUsable)
 }
 
+// usable reports whether a circuit is in service, that is, blocked by neither end.
 func (g *Group) usable(c *circuit) bool {
 	return !c.blockedHere && !c.blockedByFar && !c.hardwareBlocked
 }
 
+// updateIdleList adjusts the idle list and the number of circuits in service after a change of the blocking of a circuit.
 func (g *Group) updateIdleList(cic uint16, wasUsable bool) {
 	c := &g.circuits[cic]
 	isUsable := g.usable(c)
@@ -548,7 +556,7 @@
 	}
 }
 
-// Block blocks or unblocks every circuit from this end, as operators ask. Calls on them go on.
+// Block blocks or unblocks every circuit from this end, at the request of operators. Calls on the circuits continue.
 func (g *Group) Block(blocked bool) {
 	for cic := 1; cic < len(g.circuits); cic++ {
 		wasUsable := g.usable(&g.circuits[cic])
@@ -561,7 +569,7 @@
 	}
 	for first := 1; first < len(g.circuits); first += isup.MaxRange {
 		n := min(isup.MaxRange, len(g.circuits)-first)
-		if n == 1 { // a group message names two circuits at the least
+		if n == 1 { // a group message covers at least two circuits
 			singleType := isup.UBL
 			if blocked {
 				singleType = isup.BLO
@@ -577,8 +585,8 @@
 	}
 }
 
-// Down notes that signalling to the far switch is lost. Calls being set up are lost at once, standing ones after Hold
-// unless Sync finds them again.
+// Down records that signalling to the far switch is lost. Calls being set up are lost at once, established ones after
+// SignallingHold unless Sync is called before. From then on the far switch's response decides about them.
 func (g *Group) Down() {
 	g.inSync, g.gen = false, g.gen+1
 	clear(g.queries)
@@ -590,8 +598,8 @@
 	g.startTimer(g.timers.SignallingHold, 0, timerHold)
 }
 
-// Sync asks the far switch, when signalling comes up, which circuits it takes for busy. The group carries no new call
-// until it has answered (Q.764, 2.8.3).
+// Sync asks the far switch, when signalling comes up, which circuits it considers busy. No circuit can be seized until all
+// these queries are answered (Q.764, 2.8.3).
 func (g *Group) Sync() {
 	g.inSync, g.gen = false, g.gen+1
 	clear(g.queries)
@@ -615,10 +623,10 @@
 	}
 }
 
-// queryResponse compares a switch's view of its circuits with the own one.
+// queryResponse compares the circuit states that a switch reports with those kept here and resolves the differences.
 func (g *Group) queryResponse(m *isup.Message, fromFar bool) {
 	if fromFar {
-		// One answer to each question: the answer to a repeated one may be older than what has been sent since.
+		// Each query takes one response: a second one, to a retransmitted query, may be older than messages sent since.
 		n, pending := g.queries[m.CIC]
 		if !pending || len(m.Circuits) < n {
 			return
@@ -632,7 +640,7 @@
 		}
 		c := &g.circuits[cic]
 		busy := s&isup.CircuitStateMask == isup.CircuitIncoming
-		if !fromFar { // the own switch: busy are the far end's calls
+		if !fromFar { // at the own switch, circuits seized by the far end are busy
 			switch {
 			case busy && c.state == Idle:
 				g.Leaks++
@@ -644,14 +652,15 @@
 			}
 			continue
 		}
-		switch { // the far switch: busy are calls seized here
+		switch { // at the far switch, circuits seized here are busy
 		case busy && (c.state == Idle || c.state == Releasing || c.state == Resetting):
 			g.Leaks++
 			g.resetCircuit(cic)
-		case busy && c.state == Outgoing && c.call == 0: // its call was given up while signalling was lost
+		case busy && c.state == Outgoing && c.call == 0: // the call was reported lost while signalling was down
 			g.resetCircuit(cic)
 		case busy && c.state == Incoming:
-			// It holds a call of ours that we gave up for one of the far end's: each would wait for the other's release.
+			// The far switch still has a call of ours that yielded to one of the far end's. Without the reset each end
+			// would wait for the other's release.
 			g.Leaks++
 			g.sendFar(isup.RSC, cic)
 		case !busy && c.state == Outgoing:
@@ -667,8 +676,8 @@
 	}
 }
 
-// Remembered tells, at an answer of the far switch and before FromFar has it, whether the switch knows a call that stands
-// here. One that knows none of them has started anew.
+// Remembered reports whether a circuit query response of the far switch shows a call that is established here. A switch
+// that knows none of them has restarted. It must be called before FromFar handles the response.
 func (g *Group) Remembered(m *isup.Message) bool {
 	for i, s := range m.Circuits {
 		if cic := m.CIC + uint16(i); g.hasCircuit(cic) && g.circuits[cic].state == Outgoing && g.circuits[cic].answered &&
@@ -679,7 +688,7 @@
 	return false
 }
 
-// TimerExpired takes an alarm that has run out.
+// TimerExpired handles the expiry of a timer. A stale timer has no effect.
 func (g *Group) TimerExpired(id TimerID) {
 	if id.CIC == 0 {
 		if id.Gen != g.gen {
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases at every run; other seeds by hand: go test -args -rapid.seed=N -rapid.checks=N.
+// A fixed seed makes every run check the same cases. For others: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
 func newGroup(t testing.TB, self, far uint32, n int) *Group {
@@ -22,7 +22,7 @@
 	return g
 }
 
-// syncAllIdle answers the queries of Sync: all idle.
+// syncAllIdle calls Sync and answers its queries with all circuits idle.
 func syncAllIdle(g *Group) {
 	g.Sync()
 	for _, a := range g.Actions {
@@ -53,51 +53,53 @@
 	return none, false
 }
 
-// The two ends seize from opposite sides: they meet only on the last circuit.
-func TestEndsMeetLast(t *testing.T) {
+// Guards against ends that select the same idle circuit while others are idle, which would cause needless dual seizures.
+func TestEndsSelectDifferentCircuitsWhileOthersAreIdle(t *testing.T) {
 	a, b := newGroup(t, 1, 2, 10), newGroup(t, 2, 1, 10)
 	seen := map[uint16]bool{}
 	for range 5 {
 		x, _ := a.Seize(1)
 		y, _ := b.Seize(2)
 		if seen[x] || seen[y] || x == y {
-			t.Fatalf("the ends meet on %d and %d with circuits to spare", x, y)
+			t.Fatalf("the ends seized circuits %d and %d, of which one is already in use, while others were idle", x, y)
 		}
 		seen[x], seen[y] = true, true
 		b.FarSeized(x, 9)
 		a.FarSeized(y, 9)
 	}
 	if _, ok := a.Seize(3); ok || a.Free() != 0 {
-		t.Error("a full group gives a circuit")
+		t.Error("a circuit of a fully occupied group could be seized")
 	}
 }
 
-func TestDualSeizureOfTheLastCircuit(t *testing.T) {
-	a, b := newGroup(t, 1, 2, 1), newGroup(t, 2, 1, 1) // circuit 1 is odd: the lower point code controls it
+// In a dual seizure the call of the end that controls the circuit continues, and the other end's call loses the circuit.
+func TestDualSeizureIsWonByControllingEnd(t *testing.T) {
+	a, b := newGroup(t, 1, 2, 1), newGroup(t, 2, 1, 1) // circuit 1 is odd, so the end with the lower point code controls it
 	x, _ := a.Seize(11)
 	y, _ := b.Seize(22)
 	if v := a.FarSeized(y, 0); v != SeizureDisregarded {
-		t.Errorf("the controlling end says %v", v)
+		t.Errorf("FarSeized at the controlling end returned %v", v)
 	}
 	if m, ok := findAction[SendToOwn](takeActions(a)); !ok || m.Msg.Type != isup.RSC {
 		t.Error("the own switch is not told to disregard the far end's call")
 	}
 	if v := b.FarSeized(x, 0); v != SeizureAccepted {
-		t.Errorf("the other end says %v", v)
+		t.Errorf("FarSeized at the other end returned %v", v)
 	}
 	if l, ok := findAction[CircuitLost](takeActions(b)); !ok || l.Call != 22 || l.Reason != DualSeizure || !l.SeizedHere {
-		t.Errorf("the yielding call is told %+v", l)
+		t.Errorf("notification for the yielding call: %+v", l)
 	}
 	if s, c := a.Circuit(1); s != Outgoing || c != 11 {
-		t.Errorf("the controlling end has %v for call %d", s, c)
+		t.Errorf("circuit at the controlling end: state %v, call %d", s, c)
 	}
 	if a.DualSeizures != 1 || b.DualSeizures != 1 {
-		t.Error("dual seizures are not counted")
+		t.Error("the dual seizure was not counted at both ends")
 	}
 }
 
-// REL without RLC is sent again, then the circuit is reset, and reset again until the far end answers.
-func TestReleaseWithoutComplete(t *testing.T) {
+// REL without RLC is retransmitted until T5, then RSC is sent until the far end answers. Guards against a circuit that
+// stays busy for ever after a lost release.
+func TestUnansweredReleaseIsFollowedByReset(t *testing.T) {
 	g := newGroup(t, 1, 2, 2)
 	cic, _ := g.Seize(1)
 	g.Release(cic, isup.CauseNormal, 0)
@@ -113,23 +115,24 @@
 		}
 		al, ok := findAction[StartTimer](acts)
 		if !ok {
-			t.Fatal("no alarm is set: the circuit would stay taken for ever")
+			t.Fatal("no timer was started: the circuit would stay busy for ever")
 		}
 		g.TimerExpired(al.TimerID)
 	}
-	if rel != 20 || rsc < 5 { // T5 / T1 = 20 times, the first included
-		t.Errorf("%d RELs and %d RSCs", rel, rsc)
+	if rel != 20 || rsc < 5 { // T5 / T1 = 20, the first transmission included
+		t.Errorf("sent %d RELs and %d RSCs, want 20 and at least 5", rel, rsc)
 	}
 	if g.Free() != 1 {
-		t.Errorf("%d circuits free while one is in doubt", g.Free())
+		t.Errorf("%d circuits free while one is being reset, want 1", g.Free())
 	}
 	g.FromFar(&isup.Message{Type: isup.RLC, CIC: cic})
 	if g.Free() != 2 {
-		t.Error("the answer to RSC does not free the circuit")
+		t.Error("the RLC in answer to RSC did not free the circuit")
 	}
 }
 
-func TestStaleTimer(t *testing.T) {
+// Guards against a release timer of a finished call that acts on the next call of the same circuit.
+func TestStaleTimerHasNoEffect(t *testing.T) {
 	g := newGroup(t, 1, 2, 1)
 	cic, _ := g.Seize(1)
 	g.Release(cic, isup.CauseNormal, 0)
@@ -138,64 +141,67 @@
 	g.Seize(2)
 	g.TimerExpired(al.TimerID)
 	if len(g.Actions) != 0 {
-		t.Errorf("an alarm of the last call touches the next: %+v", g.Actions)
+		t.Errorf("a timer of the previous call caused actions: %+v", g.Actions)
 	}
 }
 
-func TestBlocking(t *testing.T) {
+// Circuits blocked for maintenance, for a hardware failure and by the own operators are in service again only when each of
+// these blockings is lifted. Only a hardware failure ends calls.
+func TestBlockingsAreIndependent(t *testing.T) {
 	g := newGroup(t, 1, 2, 8)
 	cic, _ := g.Seize(7)
 	g.FromFar(&isup.Message{Type: isup.CGB, CIC: 1, Range: 7, Supervision: isup.Maintenance, Status: []byte{0xff}})
 	if _, ok := findAction[CircuitLost](g.Actions); ok || g.Free() != 0 || g.Size() != 0 {
-		t.Errorf("maintenance blocking leaves %d free of %d, or ends a call", g.Free(), g.Size())
+		t.Errorf("after maintenance blocking %d circuits are free and %d in service, want 0, or a call was lost", g.Free(), g.Size())
 	}
 	if m, ok := findAction[SendToFar](takeActions(g)); !ok || m.Msg.Type != isup.CGBA {
-		t.Error("no acknowledgement")
+		t.Error("CGB was not acknowledged by CGBA")
 	}
 	g.FromFar(&isup.Message{Type: isup.CGU, CIC: 1, Range: 7, Supervision: isup.Maintenance, Status: []byte{0xff}})
 	if g.Free() != 7 || g.Size() != 8 {
-		t.Errorf("%d free of %d after unblocking", g.Free(), g.Size())
+		t.Errorf("after unblocking %d circuits are free and %d in service, want 7 and 8", g.Free(), g.Size())
 	}
 	takeActions(g)
 	g.FromFar(&isup.Message{Type: isup.CGB, CIC: 1, Range: 7, Supervision: isup.Hardware, Status: []byte{0xff}})
 	if l, ok := findAction[CircuitLost](takeActions(g)); !ok || l.Call != 7 || l.CIC != cic || l.Reason != HardwareBlocked {
-		t.Errorf("hardware failure: %+v", l)
+		t.Errorf("notification after the hardware failure: %+v", l)
 	}
-	g.Block(true) // blocked twice: each has to be lifted
+	g.Block(true) // a second blocking beside that of the hardware failure
 	g.FromFar(&isup.Message{Type: isup.CGU, CIC: 1, Range: 7, Supervision: isup.Hardware, Status: []byte{0xff}})
 	if g.Free() != 0 {
-		t.Error("the operators' block went with the far end's")
+		t.Error("unblocking by the far end lifted the blocking by the operators")
 	}
 	if g.Block(false); g.Free() != 8 {
-		t.Errorf("%d free in the end", g.Free())
+		t.Errorf("%d circuits free after all unblocking, want 8", g.Free())
 	}
 	g.FromFar(&isup.Message{Type: isup.BLO, CIC: 3})
 	g.FromFar(&isup.Message{Type: isup.BLO, CIC: 3})
 	if g.Free() != 7 {
-		t.Error("BLO twice counts twice")
+		t.Error("a repeated BLO blocked another circuit")
 	}
 }
 
-// A group message may begin below or end beyond the circuits that there are: those that are meant are dealt with.
-func TestGroupMessageBeyondTheGroup(t *testing.T) {
+// The range of a group message may begin or end outside the circuits of the group. It applies to those that exist.
+func TestGroupMessageRangeOutsideGroup(t *testing.T) {
 	g := newGroup(t, 1, 2, 4)
 	cic, _ := g.Seize(7)
 	g.FromFar(&isup.Message{Type: isup.GRS, CIC: 0, Range: 31})
 	acts := takeActions(g)
 	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 7 || l.CIC != cic {
-		t.Errorf("%+v", l)
+		t.Errorf("notification for the call: %+v", l)
 	}
 	if m, ok := findAction[SendToFar](acts); !ok || m.Msg.Type != isup.GRA || m.Msg.CIC != 0 {
-		t.Errorf("%+v", m)
+		t.Errorf("answer to GRS: %+v, want GRA for circuit 0", m)
 	}
 	g.FromOwn(&isup.Message{Type: isup.CGB, CIC: 3, Range: 9, Supervision: isup.Hardware, Status: []byte{0xff, 3}})
 	if g.Free() != 2 {
-		t.Errorf("%d free", g.Free())
+		t.Errorf("%d circuits free after blocking, want 2", g.Free())
 	}
 }
 
-// A CQM that had to be repeated is answered twice. The second answer is older than a call set up since, and ends nothing.
-func TestLateAnswerToARepeatedQuery(t *testing.T) {
+// A retransmitted CQM is answered twice. Guards against a second response, older than a call set up since, that ends this
+// call because it shows the circuit as idle.
+func TestSecondResponseToRetransmittedQueryIsIgnored(t *testing.T) {
 	g, err := New(Timers{}, 1, 2, 2)
 	if err != nil {
 		t.Fatal(err)
@@ -205,24 +211,25 @@
 	al, _ := findAction[StartTimer](takeActions(g))
 	g.TimerExpired(al.TimerID)
 	if m, ok := findAction[SendToFar](takeActions(g)); !ok || m.Msg.Type != isup.CQM {
-		t.Fatal("the query is not repeated")
+		t.Fatal("the CQM was not retransmitted")
 	}
 	g.FromFar(&idle)
 	cic, ok := g.Seize(7)
 	if !ok {
-		t.Fatal("not in sync after the first answer")
+		t.Fatal("not in sync after the first CQR")
 	}
 	g.FromFar(&idle)
 	if l, lost := findAction[CircuitLost](takeActions(g)); lost {
-		t.Errorf("%+v", l)
+		t.Errorf("the call lost its circuit: %+v", l)
 	}
 	if s, call := g.Circuit(cic); s != Outgoing || call != 7 {
-		t.Errorf("%v with call %d", s, call)
+		t.Errorf("circuit in state %v with call %d, want outgoing with call 7", s, call)
 	}
 }
 
-// Signalling is lost with a call being set up and two standing; the far switch still knows one of them.
-func TestSignallingLost(t *testing.T) {
+// Signalling is lost while one call is being set up and two are established, of which the far switch still knows one. Only
+// that one continues.
+func TestCallsKnownToFarSwitchSurviveSignallingLoss(t *testing.T) {
 	g := newGroup(t, 1, 2, 40)
 	a, _ := g.Seize(1)
 	b, _ := g.Seize(2)
@@ -235,11 +242,11 @@
 		t.Errorf("the call being set up: %+v", l)
 	}
 	if _, ok := g.Seize(9); ok {
-		t.Fatal("a group without signalling gives a circuit")
+		t.Fatal("a circuit was seized without signalling")
 	}
 	hold, _ := findAction[StartTimer](acts)
 	g.Sync()
-	g.TimerExpired(hold.TimerID) // signalling is back: of no effect
+	g.TimerExpired(hold.TimerID) // stale, since signalling is back
 	for _, act := range takeActions(g) {
 		if q, ok := act.(SendToFar); ok {
 			states := make([]byte, q.Msg.Range+1)
@@ -254,36 +261,37 @@
 	}
 	acts = takeActions(g)
 	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 3 {
-		t.Errorf("the call that the far end forgot: %+v", l)
+		t.Errorf("the call that the far switch does not know: %+v", l)
 	}
 	if m, ok := findAction[SendToFar](acts); !ok || m.Msg.Type != isup.RSC || m.Msg.CIC != a {
-		t.Errorf("the circuit of the lost attempt is not reset: %+v", m)
+		t.Errorf("the circuit of the lost attempt was not reset: %+v", m)
 	}
 	if s, call := g.Circuit(b); s != Outgoing || call != 2 {
-		t.Errorf("the call that both know is %v %d", s, call)
+		t.Errorf("circuit of the call that both ends know: state %v, call %d", s, call)
 	}
 	if !g.InSync() {
-		t.Error("not in sync")
+		t.Error("not in sync after all queries were answered")
 	}
 }
 
-func TestStandingCallsOutliveSignallingOnlyForAWhile(t *testing.T) {
+// Guards against established calls that are kept for ever when signalling does not return.
+func TestEstablishedCallsAreLostAfterSignallingHold(t *testing.T) {
 	g := newGroup(t, 1, 2, 2)
 	cic, _ := g.Seize(5)
 	g.Answered(cic)
 	g.Down()
 	hold, ok := findAction[StartTimer](takeActions(g))
 	if !ok || hold.After != 10*time.Second {
-		t.Fatalf("%+v", hold)
+		t.Fatalf("timer after the loss of signalling: %+v, want one of 10 s", hold)
 	}
 	g.TimerExpired(hold.TimerID)
 	if l, ok := findAction[CircuitLost](takeActions(g)); !ok || l.Call != 5 {
-		t.Errorf("%+v", l)
+		t.Errorf("notification for the call: %+v", l)
 	}
 }
 
-// network is both ends of a group with their switches, and messages in flight in four first-in first-out queues an end:
-// the property below plays any interleaving of them.
+// network simulates both ends of a group with their switches. Messages in transit are held in four FIFO queues per end,
+// and the property test below delivers them in any interleaving.
 type network struct {
 	t        *rapid.T
 	ends     [2]*end
@@ -298,12 +306,12 @@
 	fromOwn        []isup.Message // own switch to controller
 	toOwn          []isup.Message
 	timers         []TimerID
-	calls          map[uint64]uint16 // alive here, by circuit
-	answered       map[uint64]bool   // ... that stand
-	switchCalls    map[uint16]uint64 // in the switch: the far controller's call by circuit
-	switchAnswered map[uint16]bool   // ... which it has answered
+	calls          map[uint64]uint16 // circuit of each call seized here
+	answered       map[uint64]bool   // calls of these that are established
+	switchCalls    map[uint16]uint64 // in the own switch: the far controller's call on each circuit
+	switchAnswered map[uint16]bool   // circuits on which the own switch has answered
 	lostCalls      int
-	drop           func(m *isup.Message) bool // a fault: the message is lost
+	drop           func(m *isup.Message) bool // injected fault: reports whether the message is lost
 }
 
 func newNetwork(t *rapid.T, n int) *network {
@@ -349,7 +357,7 @@
 	return m, true
 }
 
-// deliver carries the first message of queue k of end e; false: it is empty.
+// deliver delivers the first message of queue k of end e; false: the queue is empty.
 func (e *end) deliver(k int) bool {
 	switch k {
 	case 0:
@@ -403,7 +411,7 @@
 	return isup.Message{Type: isup.CQR, CIC: m.CIC, Range: m.Range, Circuits: states}
 }
 
-// switchReceives plays the switch of e for a message of the far controller.
+// switchReceives simulates the handling of a message of the far controller by the own switch of e.
 func (e *end) switchReceives(m isup.Message) {
 	reply := func(t isup.Type) { e.far.fromFar = append(e.far.fromFar, isup.Message{Type: t, CIC: m.CIC}) }
 	switch m.Type {
@@ -424,7 +432,7 @@
 	}
 }
 
-// controllerReceives plays what the owner of a group does with a message of the far switch.
+// controllerReceives simulates the handling of a message of the far switch by the owner of a group.
 func (e *end) controllerReceives(m isup.Message) {
 	state, call := e.g.Circuit(m.CIC)
 	switch m.Type {
@@ -455,7 +463,7 @@
 	e.toFar = append(e.toFar, isup.Message{Type: isup.IAM, CIC: cic, HasRef: true, Ref: isup.CallReference{ID: uint32(nw.lastCall)}})
 }
 
-// settle delivers until nothing is in flight; with alarms it lets time pass as well, until all circuits have come to rest.
+// settle delivers messages until none is in transit. With timers it also lets all timers expire, until none is running.
 func (nw *network) settle(timers bool) {
 	for range 10000 {
 		progress := false
@@ -485,11 +493,11 @@
 			return
 		}
 	}
-	nw.t.Fatal("never comes to rest")
+	nw.t.Fatal("messages or timers are still pending after 10000 rounds")
 }
 
-// No circuit ever carries two calls that stand, whatever the interleaving, and every circuit is idle at both ends once
-// all calls are over: also when releases get lost and signalling breaks in between.
+// Whatever the interleaving of messages, no circuit carries two established calls, and all circuits are idle at both ends
+// once all calls have ended, even if releases are lost and signalling is interrupted.
 func TestCircuitsOfBothEndsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "circuits")
@@ -530,13 +538,13 @@
 						break
 					}
 				}
-			case op == 11 && faults: // a release or its answer is lost
+			case op == 11 && faults: // a REL or RLC is lost
 				if len(e.toFar) > 0 && e.toFar[0].Type == isup.REL {
 					e.toFar = e.toFar[1:]
 				} else if len(e.fromFar) > 0 && e.fromFar[0].Type == isup.RLC {
 					e.fromFar = e.fromFar[1:]
 				}
-			case op == 12 && faults: // signalling breaks and comes again
+			case op == 12 && faults: // signalling is interrupted
 				e.toFar, e.fromFar = nil, nil
 				e.g.Down()
 				e.performActions()
@@ -554,11 +562,11 @@
 				}
 			}
 			for cic, count := range established {
-				// Both ends may for a moment take a circuit for theirs while the reset of the one is in flight; what may not
-				// be is that the switches connect both.
+				// Both ends may consider a circuit theirs while the reset of one call is in transit, but the switches
+				// must not connect both calls.
 				if count > 1 && nw.ends[0].switchAnswered[cic] && nw.ends[1].switchAnswered[cic] &&
 					len(nw.ends[0].toFar)+len(nw.ends[1].toFar)+len(nw.ends[0].fromOwn)+len(nw.ends[1].fromOwn)+len(nw.ends[0].toOwn)+len(nw.ends[1].toOwn)+len(nw.ends[0].fromFar)+len(nw.ends[1].fromFar) == 0 {
-					t.Fatalf("two calls stand on circuit %d", cic)
+					t.Fatalf("two established calls on circuit %d", cic)
 				}
 			}
 		}
@@ -572,7 +580,7 @@
 			}
 		}
 		nw.settle(true)
-		for range 2 { // an audit, as after an association has come again, finds what is still left
+		for range 2 { // circuit queries, as after an association is up again, resolve the remaining differences
 			for _, e := range nw.ends {
 				e.g.Sync()
 				e.g.SyncOwn()
@@ -582,7 +590,7 @@
 		}
 		for i, e := range nw.ends {
 			if e.g.Free() != n || len(e.switchCalls) != 0 {
-				t.Fatalf("end %d: %d of %d circuits free, switch has %v", i, e.g.Free(), n, e.switchCalls)
+				t.Fatalf("end %d: %d of %d circuits free, calls left in the switch: %v", i, e.g.Free(), n, e.switchCalls)
 			}
 		}
 	})
