--- a/hooks/breaker.go
+++ b/hooks/breaker.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// The breaker of a hook: after maxConsecutiveFailures, or when more than half of the last historyRuns runs failed, it is taken out for a
-// while, tried once, and taken out for twice as long if that fails. A hook that works at all is never taken out by a few
-// odd calls.
+// Limits of a hook's circuit breaker. It opens after maxConsecutiveFailures, or when more than half of the last historyRuns
+// runs have failed, so that a few failures do not disable a hook that mostly works.
 const (
 	maxConsecutiveFailures = 5
 	historyRuns            = 32
 	initialOpenSpan        = time.Second
 	maxOpenSpan            = time.Minute
-	// maxStepsPerSecond is what one hook may use in a second over all calls; beyond that calls go on without it till the next.
+	// maxStepsPerSecond bounds the steps of one hook per second over all calls. Beyond it calls continue without the hook
+	// until the next second.
 	maxStepsPerSecond = 20_000_000
 )
 
+// breaker is the circuit breaker of a hook. While it is open, the hook is skipped. After openSpan one run is allowed as a
+// probe: success closes the breaker, failure opens it again for twice as long, up to maxOpenSpan.
 type breaker struct {
 	consecutiveFailures int
-	history             uint32 // the last runs, a bit each: 1 failed
+	history             uint32 // one bit for each of the last runs: 1 means failed
 	runs                int
-	openSpan            time.Duration // of being out; 0: in use
+	openSpan            time.Duration // 0: the breaker is closed
 	openUntil           time.Duration
-	probing             bool // one run is being tried
+	probing             bool // the probe run is under way
 
-	second int64 // whole second that steps belong to
+	second int64 // the second in which steps are counted
 	steps  int
 }
 
-// allow tells whether a run may be made now. A run that is allowed must be followed by done.
+// allow reports whether a run may be made now. An allowed run must be followed by recordRun.
 func (b *breaker) allow(now time.Duration) bool {
 	if s := int64(now / time.Second); s != b.second {
 		b.second, b.steps = s, 0
@@ -44,7 +46,8 @@
 	return true
 }
 
-// recordRun notes how a run went; it tells whether the hook has been taken out, or put back, by it.
+// recordRun records the outcome of a run and reports whether the breaker has thereby opened from the closed state, or
+// closed.
 func (b *breaker) recordRun(now time.Duration, failed bool, steps int) (changed bool) {
 	b.steps += steps
 	if b.openSpan > 0 {
@@ -76,6 +79,7 @@
 	return false
 }
 
+// state returns the state of the breaker as operators see it.
 func (b *breaker) state(now time.Duration) string {
 	switch {
 	case b.openSpan == 0:
--- a/hooks/hooks_test.go
+++ b/hooks/hooks_test.go
@@ -33,8 +33,9 @@
 	return a
 }
 
-// What hooks ask for is merged: the first word stands, exclusions add up, and a hook that fails asks for nothing.
-func TestMerge(t *testing.T) {
+// The results of several hooks are merged: the first class and tenant are kept, exclusions and tags accumulate, and a hook
+// that fails, or sets an unknown class, contributes nothing.
+func TestResultsOfHooksAreMerged(t *testing.T) {
 	s := compileSet(t, nil,
 		"on arrival {\n\tset_class(\"storm\")\n\ttag(\"a\")\n}\non route {\n\texclude(1)\n\texclude(2)\n}\n",
 		"on arrival {\n\tset_class(\"map\")\n\tset_tenant(\"city\")\n\ttag(\"b\")\n}\non route {\n\texclude(2)\n\texclude(3)\n}\n",
@@ -49,20 +50,23 @@
 	}
 }
 
-func TestFailureRefuses(t *testing.T) {
+// A hook with @failure(refuse) refuses calls when it fails and while its breaker is open. Guards against calls that
+// continue without a hook that is meant to be mandatory.
+func TestFailureRefuseHoldsWhileBreakerIsOpen(t *testing.T) {
 	s := compileSet(t, nil, "@failure(refuse)\non arrival {\n\tfail \"no\"\n}\n")
-	for i := range 20 { // by its failure, and when it is out
+	for i := range 20 { // first by the failure, then because the breaker is open
 		if a := runHooks(s, script.Arrival, time.Duration(i)*time.Millisecond); a.Refuse != 42 {
-			t.Fatalf("%d: %+v", i, a)
+			t.Fatalf("run %d: advice %+v, want refusal with cause 42", i, a)
 		}
 	}
 	if !s.RefusesOnTimeout(script.Arrival) || s.RefusesOnTimeout(script.Route) {
-		t.Error("which kinds refuse is told wrongly")
+		t.Error("RefusesOnTimeout must be true for arrival and false for route")
 	}
 }
 
-// A hook that fails is taken out, tried again after a while, out for twice as long if it fails again, and put back when it works.
-func TestBreaker(t *testing.T) {
+// The breaker of a failing hook opens, allows a probe run after 1 s, then after twice the span for each failed probe, and
+// closes when a probe succeeds.
+func TestBreakerOpensProbesAndCloses(t *testing.T) {
 	s := compileSet(t, nil, "var bad = true\nevery 1s {\n\tbad = system.open > 0\n}\non arrival {\n\tif bad {\n\t\tfail \"bad\"\n\t}\n}\n")
 	now := time.Hour
 	runs := func() uint64 { return s.byKind[script.Arrival][0].stats.Runs }
@@ -71,7 +75,7 @@
 		notes = append(notes, runHooks(s, script.Arrival, now).Notes...)
 	}
 	if runs() != maxConsecutiveFailures || len(notes) != 1 {
-		t.Fatalf("%d runs, %v", runs(), notes)
+		t.Fatalf("%d runs before the breaker opened, notes %v; want one note", runs(), notes)
 	}
 	for _, c := range []struct {
 		after time.Duration
@@ -88,15 +92,16 @@
 	r.RunDue(s, &ev, now, &a)
 	r.RunDue(s, &ev, now+time.Minute, &a)
 	if a := runHooks(s, script.Arrival, now+time.Minute); len(a.Notes) != 1 {
-		t.Errorf("not put back: %+v", a)
+		t.Errorf("the breaker did not close: %+v", a)
 	}
 	if v := s.Views(now + time.Minute); v[1].State != "in use" && v[0].State != "in use" {
-		t.Errorf("%+v", v)
+		t.Errorf("views after the breaker closed: %+v", v)
 	}
 }
 
-// One that fails now and then stays; one that fails more than half the time goes.
-func TestBreakerShares(t *testing.T) {
+// Guards against a breaker that opens for a hook which fails only now and then: it must open when more than half of the
+// runs fail.
+func TestBreakerOpensAboveHalfOfRunsFailed(t *testing.T) {
 	for _, c := range []struct {
 		every int
 		out   bool
@@ -108,7 +113,7 @@
 			}
 		}
 		if (b.openSpan > 0) != c.out {
-			t.Errorf("failing each %d: out %v", c.every, b.openSpan > 0)
+			t.Errorf("one of %d runs fails: breaker open %v", c.every, b.openSpan > 0)
 		}
 	}
 	var b breaker
@@ -118,12 +123,12 @@
 		}
 	}
 	if b.openSpan == 0 {
-		t.Error("failing three times of four: still in use")
+		t.Error("three of four runs fail: the breaker is closed")
 	}
 }
 
-// A hook just under its budget for every call has an allowance a second as well.
-func TestStepsPerSecond(t *testing.T) {
+// Guards against a hook that stays just under its step limit in every call and yet uses up the processor in total.
+func TestStepsPerSecondAreLimited(t *testing.T) {
 	var b breaker
 	n := 0
 	for b.allow(time.Hour) {
@@ -131,53 +136,55 @@
 		n++
 	}
 	if n < 20 || n > 25 {
-		t.Errorf("%d runs of 900,000 steps in one second", n)
+		t.Errorf("%d runs of 900,000 steps allowed within one second, want 20 to 25", n)
 	}
 	if !b.allow(time.Hour + time.Second) {
-		t.Error("nothing in the next second")
+		t.Error("no run was allowed in the next second")
 	}
 }
 
-// A bad set is refused with its place; the old one stays.
-func TestExamplesAndVersions(t *testing.T) {
+// A set that does not compile or does not pass its examples is rejected with the position of the error. State carries over
+// from version to version, and a rollback makes the previous version live.
+func TestInvalidSetsAreRejectedAndVersionsRollBack(t *testing.T) {
 	text := "counter seen\non arrival {\n\tseen.add(1)\n\tif call.called matches 8201* {\n\t\tset_class(\"storm\")\n\t}\n\tif seen.value() > 1 {\n\t\ttag(\"again\")\n\t}\n}\n"
 	ex, err := ParseExamples("e.yaml", []byte("- hook: arrival\n  event: {call.called: \"820155\"}\n  want: {class: storm}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var registry Registry
-	one := compileSet(t, nil, text)
-	if err := one.Check(ex); err != nil {
+	first := compileSet(t, nil, text)
+	if err := first.Check(ex); err != nil {
 		t.Fatal(err)
 	}
-	registry.Activate(one)
-	runHooks(one, script.Arrival, 1)
-	two := compileSet(t, one, strings.Replace(text, "8201*", "8202*", 1))
-	if err := two.Check(ex); err == nil || !strings.Contains(err.Error(), "example 1 (arrival)") {
-		t.Errorf("an example that comes out otherwise: %v", err)
+	registry.Activate(first)
+	runHooks(first, script.Arrival, 1)
+	second := compileSet(t, first, strings.Replace(text, "8201*", "8202*", 1))
+	if err := second.Check(ex); err == nil || !strings.Contains(err.Error(), "example 1 (arrival)") {
+		t.Errorf("error for an example with another result: %v", err)
 	}
-	if a := runHooks(two, script.Arrival, 1); fmt.Sprint(a.Tags) != "[again]" {
-		t.Errorf("the counter does not go on: %+v", a) // and the trial has not touched it
+	if a := runHooks(second, script.Arrival, 1); fmt.Sprint(a.Tags) != "[again]" {
+		t.Errorf("the counter was not carried over: %+v", a)
 	}
-	registry.Activate(two)
-	if registry.Live().Version != 2 || registry.RollBack() != nil || registry.Live() != one || registry.RollBack() == nil {
-		t.Error("rolling back")
+	registry.Activate(second)
+	if registry.Live().Version != 2 || registry.RollBack() != nil || registry.Live() != first || registry.RollBack() == nil {
+		t.Error("Live or RollBack returned a wrong version")
 	}
-	if _, err := Compile([]Source{{"x.ug", "on arrival {\n\trefus(1)\n}"}}, names, one); err == nil || !strings.HasPrefix(err.Error(), "x.ug:2:2: ") {
-		t.Errorf("%v", err)
+	if _, err := Compile([]Source{{"x.ug", "on arrival {\n\trefus(1)\n}"}}, names, first); err == nil || !strings.HasPrefix(err.Error(), "x.ug:2:2: ") {
+		t.Errorf("error %v, want one at x.ug:2:2", err)
 	}
 	for _, bad := range []string{"- hook: arrival\n  event: {call.caled: \"1\"}\n", "- hook: moon\n  event: {}\n", "- hook: arrival\n  event: {call.category: \"x\"}\n"} {
 		ex, err := ParseExamples("e.yaml", []byte(bad))
-		if err == nil && one.Check(ex) == nil {
-			t.Errorf("%q passes", bad)
+		if err == nil && first.Check(ex) == nil {
+			t.Errorf("invalid example %q was accepted", bad)
 		}
 	}
 	if _, err := ParseExamples("e.yaml", []byte("- hok: arrival\n")); err == nil {
-		t.Error("an unknown key passes")
+		t.Error("an example with an unknown key was accepted")
 	}
 }
 
-func TestShadow(t *testing.T) {
+// The report counts the events on which shadow and live advice differ, and shows the differences.
+func TestReportShowsShadowDifferences(t *testing.T) {
 	var registry Registry
 	live, shadow := compileSet(t, nil, "on arrival {\n\tset_class(\"map\")\n}\n"), compileSet(t, nil, "on arrival {\n\tset_class(\"storm\")\n}\n")
 	registry.Activate(live)
@@ -190,8 +197,8 @@
 	}
 }
 
-// Ticks: each in its time, once however the clock jumps.
-func TestEvery(t *testing.T) {
+// Periodic hooks run once per period, and only once after a jump of the clock over many periods.
+func TestPeriodicHooksDoNotCatchUpAfterClockJump(t *testing.T) {
 	s := compileSet(t, nil, "counter n\nevery 5s {\n\tn.add(1)\n}\nevery 7s {\n\tn.add(100)\n}\n")
 	r := NewRunner()
 	var a Advice
@@ -207,11 +214,12 @@
 	}
 	st := p.NewState(s.states[0], s.programs[0])
 	if err := script.NewVM().Run(p, 0, &ev, st, 0, &res); err != nil || res.Logs[0].Value != "608" {
-		t.Errorf("%v %v: 8 and 6 runs are wanted", res.Logs, err)
+		t.Errorf("logs %v, error %v; want 8 runs of the 5 s hook and 6 of the 7 s hook", res.Logs, err)
 	}
 }
 
-func TestErrorsAreOfTheScript(t *testing.T) {
+// The errors of all files are returned at once.
+func TestCompileReturnsErrorsOfAllFiles(t *testing.T) {
 	_, err := Compile([]Source{{"a.ug", "on"}, {"b.ug", "fn"}}, names, nil)
 	var e script.Errors
 	if !errors.As(err, &e) || len(e) < 2 {
--- a/hooks/registry.go
+++ b/hooks/registry.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Registry keeps the versions of scripts: the live one, those before it, and a shadow that is only tried. It belongs to one
-// goroutine; the sets that it hands out may be run by others.
+// Registry keeps the versions of the scripts: the live one, previous ones, and a shadow version whose advice is only
+// compared with that of the live one. It must be used by one goroutine; the sets that it returns may be run by others.
 type Registry struct {
 	live, shadow *Set
 	previous     []*Set
@@ -17,16 +17,16 @@
 	samples      []string
 }
 
-// maxPrevious bounds the versions that can be rolled back to.
+// maxPrevious bounds the number of previous versions kept for a rollback.
 const maxPrevious = 10
 
-// Live is the set that new calls belong to; nil: there is none.
+// Live returns the set that new calls use, or nil if there is none.
 func (r *Registry) Live() *Set { return r.live }
 
-// Shadow is the set that is tried beside it, or nil.
+// Shadow returns the shadow set, or nil if there is none.
 func (r *Registry) Shadow() *Set { return r.shadow }
 
-// Activate makes a set the live one at this instant. Calls that have come before keep theirs.
+// Activate makes a set the live one and ends the shadow run. Calls that arrived before keep the set that they started with.
 func (r *Registry) Activate(s *Set) {
 	if r.live != nil {
 		r.previous = append(r.previous, r.live)
@@ -39,10 +39,10 @@
 	r.shadow = nil
 }
 
-// NextVersion numbers a set that is about to be made.
+// NextVersion returns the version number for a set that is about to be compiled.
 func (r *Registry) NextVersion() int { return max(1, r.nextVersion) }
 
-// RollBack makes the version before the live one live again.
+// RollBack makes the version before the live one live again. The version that was live is dropped.
 func (r *Registry) RollBack() error {
 	if len(r.previous) == 0 {
 		return errors.New("there is no version to go back to")
@@ -52,12 +52,13 @@
 	return nil
 }
 
-// SetShadow begins or, with nil, ends the trial of a shadow.
+// SetShadow starts a shadow run or, with nil, ends it.
 func (r *Registry) SetShadow(s *Set) {
 	r.shadow, r.shadowRuns, r.shadowDiffs, r.samples = s, 0, 0, nil
 }
 
-// AddComparison notes how the shadow's advice differs on one event.
+// AddComparison records the comparison of the shadow's advice with the live advice on one event; an empty diff means that
+// they agree.
 func (r *Registry) AddComparison(kind, diff string) {
 	r.shadowRuns++
 	if diff == "" {
@@ -69,7 +70,7 @@
 	}
 }
 
-// Report is what operators see: versions, hooks, and the shadow's differences.
+// Report returns the lines shown to operators: versions, hooks, and differences of the shadow.
 func (r *Registry) Report(now time.Duration) []string {
 	if r.live == nil && r.shadow == nil {
 		return []string{"no scripts"}
--- a/hooks/run.go
+++ b/hooks/run.go
@@ -9,49 +9,49 @@
 	"github.com/umbergauge/umbergauge/script"
 )
 
-// Advice is what hooks ask for, all that a call can get from them.
+// Advice is the merged result of hooks: everything that they can request for a call.
 type Advice struct {
-	Refuse  int // cause value of a call that has just come; 0: not refused
+	Refuse  int // cause value with which an arriving call is refused; 0: not refused
 	Class   string
 	Tenant  string
 	Rewrite string
-	Exclude []int // exchanges that the call is kept away from
-	TreatAs int   // cause that the module reads in place of a refused attempt's
+	Exclude []int // exchanges that the call must not be routed to
+	TreatAs int   // cause that package policy uses instead of that of the refused attempt; 0: none
 	Tags    []string
 	Logs    []script.LogField
-	// Failed names the hooks that failed, Notes what their breakers did.
+	// Failed lists the names of the hooks that failed, Notes the state changes of circuit breakers.
 	Failed []string
 	Notes  []string
 }
 
-// Runner runs hooks; each worker has its own.
+// Runner runs hooks. It is not safe for concurrent use; each worker has its own.
 type Runner struct {
 	vm     *script.VM
 	result script.Result
 }
 
-// NewRunner makes a Runner.
+// NewRunner returns a Runner.
 func NewRunner() *Runner { return &Runner{vm: script.NewVM()} }
 
-// breakersMu guards breakers and totals, which workers share. It is held for a few instructions, never while a hook runs.
+// breakersMu guards the breakers and Stats of all hooks, which workers share. It is never held while a hook runs.
 var breakersMu sync.Mutex
 
-// Run runs all hooks of a kind on an event, in the order of their files, and adds what they ask for to a. What a hook asked
-// for before it failed does not count.
+// Run runs all hooks of a kind on an event, in the order of their files, and merges their results into a. The results of a
+// hook that failed are discarded.
 func (r *Runner) Run(s *Set, kind string, ev *script.Event, now time.Duration, a *Advice) {
 	for _, h := range s.byKind[kind] {
 		r.runGuarded(h, ev, now, a)
 	}
 }
 
-// RunDue runs every hook whose time has come, and returns when the next one's does; 0: there is none.
+// RunDue runs every periodic hook that is due and returns the time of the next run; 0: the set has no periodic hook.
 func (r *Runner) RunDue(s *Set, ev *script.Event, now time.Duration, a *Advice) (next time.Duration) {
 	for _, h := range s.byKind[script.Every] {
 		if h.nextRun == 0 {
 			h.nextRun = now + h.every
 		}
 		if now >= h.nextRun {
-			// A clock that jumps makes no hook run twice for what it missed.
+			// After a jump of the clock the missed runs are not made up for.
 			h.nextRun = now + h.every
 			r.runGuarded(h, ev, now, a)
 		}
@@ -62,7 +62,7 @@
 	return next
 }
 
-// runGuarded runs one hook under its breaker.
+// runGuarded runs one hook if its circuit breaker allows it.
 func (r *Runner) runGuarded(h *hook, ev *script.Event, now time.Duration, a *Advice) {
 	breakersMu.Lock()
 	allowed := h.breaker.allow(now)
@@ -71,8 +71,8 @@
 	}
 	breakersMu.Unlock()
 	if !allowed {
-		if h.refuse && a.Refuse == 0 { // what must not go on without its hook does not
-			a.Refuse = 42
+		if h.refuse && a.Refuse == 0 { // @failure(refuse): the call must not continue without this hook
+			a.Refuse = 42 // switching equipment congestion (Q.850)
 		}
 		return
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-// runOne runs a hook and merges what it asks for.
+// runOne runs a hook without regard to its breaker and merges its result.
 func (r *Runner) runOne(h *hook, ev *script.Event, now time.Duration, a *Advice) error {
 	r.result.Reset()
 	s := h.set
@@ -108,8 +108,9 @@
 	return s.merge(h, &r.result, a)
 }
 
-// merge turns what one hook asked for into advice. It is the one place that does, and asks again what the kind of hook may
-// say: the first refusal, class, tenant and number stand, exclusions and words add up.
+// merge adds the result of one hook to the advice. It is the only place that does so, and it applies only what the kind of
+// hook may request. For refusal, class, tenant, rewritten number and treated-as cause the first value is kept; exclusions,
+// tags and log fields accumulate up to a limit.
 func (s *Set) merge(h *hook, res *script.Result, a *Advice) error {
 	if res.Class != "" && !slices.Contains(s.names.Classes, res.Class) {
 		return fmt.Errorf("%s: there is no class %q", h.name, res.Class)
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// CountTimeout notes that a call has gone on without an answer of the hooks of a kind.
+// CountTimeout records that a call continued because the hooks of a kind did not answer in time.
 func (s *Set) CountTimeout(kind string) {
 	breakersMu.Lock()
 	defer breakersMu.Unlock()
@@ -162,12 +163,12 @@
 	}
 }
 
-// RefusesOnTimeout tells whether a call must be refused that the hooks of a kind have not answered in time.
+// RefusesOnTimeout reports whether a call must be refused if the hooks of a kind do not answer in time.
 func (s *Set) RefusesOnTimeout(kind string) bool {
 	return slices.ContainsFunc(s.byKind[kind], func(h *hook) bool { return h.refuse })
 }
 
-// Diff tells in a line how the advice of a shadow set differs from that of the live one; empty: it does not.
+// Diff describes in one line how the advice of a shadow set differs from that of the live set; empty: it does not differ.
 func Diff(live, shadow *Advice) string {
 	type summary struct {
 		Refuse                 int
--- a/hooks/set.go
+++ b/hooks/set.go
@@ -1,9 +1,9 @@
-// Package hooks decides what scripts may do to calls: which hooks run, what becomes of what they ask for, when one is taken
-// out, and which version of the scripts a call belongs to. It reads no clock and does no I/O.
+// Package hooks runs operators' scripts on call events: it selects the hooks of an event, merges their results, disables
+// hooks that fail by circuit breakers, and keeps the versions of the scripts. It reads no clock and does no I/O.
 //
-// Hooks advise and annotate. Whatever they say, the module decides and the rules hold: Advice has no way to start, repeat
-// or answer a call but to refuse one that has just come, and Merge is the one place where what a hook asked for becomes
-// advice.
+// Hooks only advise and annotate; package policy makes the decisions and its rules hold whatever a hook requests. Advice
+// cannot start, repeat or answer a call. It can only refuse one that has just arrived. Set.merge is the only place where a
+// hook's result becomes advice.
 package hooks
 
 import (
@@ -22,17 +22,17 @@
 // Source is one script file.
 type Source struct{ Name, Text string }
 
-// Names are what the settings know: what a script may set. An empty list allows none.
+// Names are the classes and tenants of the settings, which scripts may set. An empty list allows none.
 type Names struct{ Classes, Tenants []string }
 
-// Example is one recorded event and what a set must make of it, checked before the set is used.
+// Example is a recorded event with the advice that a set must give for it, checked before the set is used.
 type Example struct {
 	Hook  string         `yaml:"hook"`
 	Event map[string]any `yaml:"event"`
 	Want  Want           `yaml:"want"`
 }
 
-// Want is what an example wants; what is left out must not be asked for.
+// Want is the advice that an example expects. Fields left out must not be set by any hook.
 type Want struct {
 	Refuse  int      `yaml:"refuse"`
 	Class   string   `yaml:"class"`
@@ -41,10 +41,10 @@
 	TreatAs int      `yaml:"treat_as"`
 	Tags    []string `yaml:"tags"`
 	Exclude []int    `yaml:"exclude"`
-	Fails   bool     `yaml:"fails"` // a hook is to fail
+	Fails   bool     `yaml:"fails"` // a hook must fail
 }
 
-// ParseExamples reads a file of examples.
+// ParseExamples parses the content of a file of examples; name is used in errors.
 func ParseExamples(name string, b []byte) ([]Example, error) {
 	var out []Example
 	if err := yaml.UnmarshalWithOptions(b, &out, yaml.Strict()); err != nil {
@@ -53,7 +53,8 @@
 	return out, nil
 }
 
-// Set is one version of all scripts. Its programs and examples don't change; its state goes on from version to version.
+// Set is one version of all scripts. Its programs do not change. Their state, such as variables and counters, carries over
+// to the next version.
 type Set struct {
 	Version  int
 	programs []*script.Program
@@ -63,11 +64,11 @@
 	names    Names
 }
 
-// hook is one hook of a set, with its breaker.
+// hook is one hook of a set, with its circuit breaker.
 type hook struct {
 	set     *Set
-	program int
-	index   int
+	program int // index in Set.programs
+	index   int // index of the hook in its program
 	kind    string
 	name    string // file:line
 	refuse  bool
@@ -77,15 +78,15 @@
 	stats   Stats
 }
 
-// Stats are a hook's totals.
+// Stats are the counters of a hook.
 type Stats struct {
 	Runs, Failures, Skipped, Timeouts uint64
 	Steps                             uint64
 	LastError                         string
 }
 
-// Compile makes a set of sources; earlier is the set that it may replace, whose state goes on, or nil. All faults are told
-// at once, as script.Errors. The set must still pass Check.
+// Compile compiles sources into a set. earlier is the set to be replaced, whose state carries over, or nil. All compilation
+// errors are returned at once, as script.Errors. The set must still pass Check.
 func Compile(sources []Source, names Names, earlier *Set) (*Set, error) {
 	s := &Set{Version: 1, byKind: map[string][]*hook{}, names: names}
 	if earlier != nil {
@@ -123,7 +124,7 @@
 	return s, nil
 }
 
-// Warnings are what the linter has found.
+// Warnings returns the findings of the script linter.
 func (s *Set) Warnings() script.Errors {
 	var out script.Errors
 	for _, p := range s.programs {
@@ -132,10 +133,10 @@
 	return out
 }
 
-// Has tells whether there is a hook of a kind.
+// Has reports whether the set, which may be nil, has a hook of a kind.
 func (s *Set) Has(kind string) bool { return s != nil && len(s.byKind[kind]) > 0 }
 
-// Check runs the examples on a state of their own and names the first that comes out otherwise.
+// Check runs the examples with a separate state and returns an error for the first whose result is not the expected one.
 func (s *Set) Check(examples []Example) error {
 	scratch := &Set{Version: s.Version, programs: s.programs, byKind: map[string][]*hook{}, names: s.names}
 	for _, p := range s.programs {
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// String is one line of a set.
+// String describes the set in one line.
 func (s *Set) String() string {
 	var names []string
 	for _, p := range s.programs {
@@ -186,13 +187,13 @@
 	return fmt.Sprintf("version %d: %d hooks of %s", s.Version, len(s.hooks), strings.Join(names, ", "))
 }
 
-// View is what operators see of a hook.
+// View is the state of a hook as shown to operators.
 type View struct {
 	Name, Kind, State string
 	Stats             Stats
 }
 
-// Views are all hooks of a set, in the order of its files.
+// Views returns the views of all hooks of the set, sorted by name.
 func (s *Set) Views(now time.Duration) []View {
 	breakersMu.Lock()
 	defer breakersMu.Unlock()
--- a/numbering/table.go
+++ b/numbering/table.go
@@ -7,18 +7,19 @@
 	"github.com/umbergauge/umbergauge/isup"
 )
 
-// Table maps prefixes to values. The zero Table is empty and ready for use; it must not be changed while it is read.
+// Table maps prefixes of numbers to values. The zero Table is empty and ready for use. Add must not run concurrently with
+// Lookup.
 type Table[V any] struct {
 	nodes []node[V] // a trie by digit; node 0 is the root
 }
 
 type node[V any] struct {
-	child    [16]int32 // 0: none, since the root is nobody's child
+	child    [16]int32 // by digit; 0: none, since the root is no child
 	hasValue bool
 	value    V
 }
 
-// Add enters a prefix, which must be new; the empty one matches every number.
+// Add adds a prefix with its value. A duplicate prefix is an error. The empty prefix matches every number.
 func (t *Table[V]) Add(prefix string, v V) error {
 	n, err := isup.ParseNumber(0, prefix)
 	if err != nil {
@@ -37,13 +38,13 @@
 		index = t.nodes[index].child[d]
 	}
 	if t.nodes[index].hasValue {
-		return fmt.Errorf("prefix %q is given twice", prefix)
+		return fmt.Errorf("duplicate prefix %q", prefix)
 	}
 	t.nodes[index].hasValue, t.nodes[index].value = true, v
 	return nil
 }
 
-// Lookup returns the value of the longest prefix of n.
+// Lookup returns the value of the longest prefix of n in the table; ok is false if there is none.
 func (t *Table[V]) Lookup(n isup.Number) (v V, ok bool) {
 	if len(t.nodes) == 0 {
 		return v, false
--- a/numbering/table_test.go
+++ b/numbering/table_test.go
@@ -9,17 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases at every run; other seeds by hand: go test -args -rapid.seed=N -rapid.checks=N.
+// A fixed seed makes every run check the same cases. For others: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
-// The table against a scan of all prefixes.
-func TestLongestPrefix(t *testing.T) {
+// Compares Lookup with a scan of all prefixes.
+func TestLookupReturnsLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table[string]
 		added := map[string]bool{}
 		for _, p := range rapid.SliceOf(rapid.StringMatching(`[0-3]{0,5}`)).Draw(t, "prefixes") {
 			if err := table.Add(p, p); (err != nil) != added[p] {
-				t.Fatalf("adding %q: %v", p, err)
+				t.Fatalf("Add of %q returned %v", p, err)
 			}
 			added[p] = true
 		}
@@ -32,16 +32,17 @@
 		}
 		n, _ := isup.ParseNumber(4, number)
 		if got, ok := table.Lookup(n); got != want || ok != found {
-			t.Fatalf("%q: %q %v, want %q %v", number, got, ok, want, found)
+			t.Fatalf("Lookup of %q returned %q, %v; want %q, %v", number, got, ok, want, found)
 		}
 	})
 }
 
-func TestBadPrefix(t *testing.T) {
+// Prefixes with characters other than digits, or longer than a number can be, are rejected.
+func TestAddRejectsInvalidPrefix(t *testing.T) {
 	var table Table[int]
 	for _, p := range []string{"12x", "+82", strings.Repeat("1", 25)} {
 		if table.Add(p, 1) == nil {
-			t.Errorf("%q passes", p)
+			t.Errorf("invalid prefix %q was accepted", p)
 		}
 	}
 }
--- a/timer/wheel.go
+++ b/timer/wheel.go
@@ -1,6 +1,6 @@
-// Package timer keeps many timers of a program that is driven by handed-in time: a hierarchical timing wheel (Varghese
-// and Lauck, 1987). Setting and stopping one costs the same however many there are; nothing is allocated once the slab
-// has grown to the most timers ever set at once.
+// Package timer implements a hierarchical timer wheel (Varghese and Lauck, 1987) for programs that pass in the current time
+// instead of reading a clock. Setting and stopping a timer takes constant time, and nothing is allocated once the slab of
+// nodes has grown to the greatest number of timers set at the same time.
 package timer
 
 import (
@@ -15,43 +15,43 @@
 	mask     = slots - 1
 )
 
-// Handle names a set timer. The zero Handle names none.
+// Handle identifies a set timer. The zero Handle identifies none.
 type Handle struct {
 	index int32 // in the slab, from 1
 	gen   uint32
 }
 
-// Wheel holds timers with a payload each. A timer never fires early and at most one tick late, counted from the first
-// Advance at or after its time. It is not safe for concurrent use.
+// Wheel holds timers with a payload each. A timer fires in the first Advance to a time not before its own, rounded up to a
+// whole tick: never early, and at most one tick late. A Wheel is not safe for concurrent use.
 type Wheel[T any] struct {
 	tick     time.Duration
-	current  uint64 // ticks up to here have been handled
-	n        int
-	nodes    []node[T] // 0 is not used
-	freeList int32
+	current  uint64    // the last tick that has been handled
+	n        int       // number of timers set
+	nodes    []node[T] // the slab; index 0 is not used, since 0 stands for none in links
+	freeList int32     // first free node
 	heads    [levels][slots]int32
 	tails    [levels][slots]int32
-	occupied [levels][slots / 64]uint64
+	occupied [levels][slots / 64]uint64 // one bit for each slot: 1 means that it holds timers
 }
 
 type node[T any] struct {
-	due        uint64
-	next, prev int32
-	gen        uint32
-	level      int8 // -1: free
+	due        uint64 // tick at which the timer fires
+	next, prev int32  // in the slot's list or the free list; 0: none
+	gen        uint32 // counts the uses of the node, so that stale handles are recognised
+	level      int8   // -1: the node is free
 	slot       uint8
 	payload    T
 }
 
-// New makes a wheel that starts at now and tells times apart by tick.
+// New returns a wheel that starts at now and has a resolution of tick.
 func New[T any](now, tick time.Duration) *Wheel[T] {
 	return &Wheel[T]{tick: tick, current: uint64(now / tick), nodes: make([]node[T], 1)}
 }
 
-// Len is the number of timers set.
+// Len returns the number of timers set.
 func (w *Wheel[T]) Len() int { return w.n }
 
-// Set makes a timer that fires at the given time, or with the next tick if that is past.
+// Set sets a timer that fires at the given time, or at the next tick if that time is past.
 func (w *Wheel[T]) Set(at time.Duration, payload T) Handle {
 	i := w.freeList
 	if i == 0 {
@@ -69,7 +69,7 @@
 	return Handle{i, n.gen}
 }
 
-// Stop takes a timer out; it tells whether it was still set.
+// Stop removes a timer and reports whether it was still set.
 func (w *Wheel[T]) Stop(h Handle) bool {
 	if h.index == 0 || w.nodes[h.index].gen != h.gen || w.nodes[h.index].level < 0 {
 		return false
@@ -87,14 +87,14 @@
 	w.n--
 }
 
-// place puts a node into the slot of its due tick, seen from cur.
+// place puts a node into the slot of its due tick, relative to the current tick.
 func (w *Wheel[T]) place(i int32) {
 	n := &w.nodes[i]
 	delta, level := n.due-w.current, 0
 	for level < levels-1 && delta >= 1<<(slotBits*(level+1)) {
 		level++
 	}
-	if top := uint64(1)<<(slotBits*levels) - 1; delta > top { // beyond the horizon: looked at again there
+	if top := uint64(1)<<(slotBits*levels) - 1; delta > top { // beyond the range of the wheel: placed again when that tick is reached
 		delta = top
 	}
 	s := (w.current + delta) >> (slotBits * level) & mask
@@ -125,7 +125,7 @@
 	}
 }
 
-// distance is the distance, 1 to slots, from slot s to the next used one of a level; 0: there is none.
+// distance returns the distance, 1 to slots, from slot s to the next occupied slot of a level; 0: there is none.
 func (w *Wheel[T]) distance(level int, s uint64) uint64 {
 	for d := uint64(1); d <= slots; {
 		at := (s + d) & mask
@@ -138,7 +138,7 @@
 	return 0
 }
 
-// next is the first tick at which something is to be done: a timer to fire, or a slot to be dealt out to lower levels.
+// next returns the first tick with work to do: timers to fire, or a slot whose timers move to lower levels.
 func (w *Wheel[T]) next() (tick uint64, ok bool) {
 	for level := range levels {
 		at := w.current >> (slotBits * level)
@@ -151,13 +151,13 @@
 	return tick, ok
 }
 
-// Next is a time before which nothing is to be done; ok is false if no timer is set.
+// Next returns a time before which no timer fires; ok is false if no timer is set.
 func (w *Wheel[T]) Next() (at time.Duration, ok bool) {
 	t, ok := w.next()
 	return time.Duration(t) * w.tick, ok
 }
 
-// Advance fires every timer due at now, in the order of their times. fire may set and stop timers.
+// Advance fires every timer that is due at now, in the order of their ticks. fire may set and stop timers.
 func (w *Wheel[T]) Advance(now time.Duration, fire func(T)) {
 	target := uint64(now / w.tick)
 	for w.current < target {
@@ -175,7 +175,7 @@
 			for i := w.heads[level][s]; i != 0; i = w.heads[level][s] {
 				w.unlink(i)
 				w.place(i)
-				if w.nodes[i].level == int8(level) && uint64(w.nodes[i].slot) == s { // a full turn ahead
+				if w.nodes[i].level == int8(level) && uint64(w.nodes[i].slot) == s { // due a full turn later or more, back in the same slot
 					break
 				}
 			}
--- a/timer/wheel_test.go
+++ b/timer/wheel_test.go
@@ -12,13 +12,13 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases at every run; other seeds by hand: go test -args -rapid.seed=N -rapid.checks=N.
+// A fixed seed makes every run check the same cases. For others: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
 const ms = time.Millisecond
 
-// The wheel against a plain list: the same timers fire, none early, none later than a tick, in the order of time.
-func TestAgainstList(t *testing.T) {
+// Compares the wheel with a plain map of timers: the same timers fire, none early, none later than a tick, in order of time.
+func TestWheelAgreesWithReferenceMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct {
 			at time.Duration
@@ -38,7 +38,7 @@
 			case 2:
 				for k, e := range pending {
 					if !w.Stop(e.h) || w.Stop(e.h) {
-						t.Fatal("Stop is wrong about a set timer")
+						t.Fatal("Stop must return true for a set timer and then false")
 					}
 					delete(pending, k)
 					break
@@ -46,11 +46,11 @@
 			case 3:
 				step := rapid.SampledFrom([]time.Duration{0, ms / 3, ms, 255 * ms, 256 * ms, 66 * time.Second, 19 * time.Hour, 1500 * time.Hour}).Draw(t, "step")
 				if next, ok := w.Next(); ok != (len(pending) > 0) {
-					t.Fatalf("Next says %v with %d set", ok, len(pending))
+					t.Fatalf("Next returned ok=%v with %d timers set", ok, len(pending))
 				} else if ok {
 					for _, e := range pending {
 						if next > max(e.at, now)+2*ms {
-							t.Fatalf("Next %v after a timer at %v", next, e.at)
+							t.Fatalf("Next returned %v, later than a timer at %v", next, e.at)
 						}
 					}
 				}
@@ -59,57 +59,58 @@
 				w.Advance(now, func(k int) {
 					e, ok := pending[k]
 					if !ok || e.at > now {
-						t.Fatalf("timer %d at %v fired at %v, known %v", k, e.at, now, ok)
+						t.Fatalf("timer %d, set for %v, fired at %v; timer known: %v", k, e.at, now, ok)
 					}
 					if e.at < last-ms {
-						t.Fatalf("timer at %v after one at %v", e.at, last)
+						t.Fatalf("timer set for %v fired after one set for %v", e.at, last)
 					}
 					last = max(last, e.at)
 					delete(pending, k)
 				})
 				for k, e := range pending {
 					if e.at <= now-2*ms {
-						t.Fatalf("timer %d at %v has not fired at %v", k, e.at, now)
+						t.Fatalf("timer %d, set for %v, has not fired at %v", k, e.at, now)
 					}
 				}
 			}
 			if w.Len() != len(pending) {
-				t.Fatalf("%d timers, want %d", w.Len(), len(pending))
+				t.Fatalf("Len returned %d, want %d", w.Len(), len(pending))
 			}
 		}
 	})
 }
 
-func TestSetWhileFiring(t *testing.T) {
+// A timer set from fire for a past time fires in the same Advance, before later timers.
+func TestTimerSetWhileFiringFiresAtNextTick(t *testing.T) {
 	w := New[int](0, ms)
 	var fired []int
 	w.Set(ms, 1)
 	w.Set(5*ms, 2)
 	w.Advance(10*ms, func(k int) {
 		if fired = append(fired, k); k == 1 {
-			w.Set(0, 3) // past: with the next tick
+			w.Set(0, 3) // a past time: fires at the next tick
 		}
 	})
 	if !slices.Equal(fired, []int{1, 3, 2}) {
-		t.Errorf("fired %v", fired)
+		t.Errorf("fired %v, want [1 3 2]", fired)
 	}
 }
 
-// A handle of a timer that has fired names none, though its place is taken again.
-func TestOldHandle(t *testing.T) {
+// Guards against a handle of a fired timer that stops another timer which has been given the same node.
+func TestStopIgnoresHandleOfFiredTimer(t *testing.T) {
 	w := New[int](0, ms)
 	h := w.Set(ms, 1)
 	w.Advance(2*ms, func(int) {})
 	w.Set(time.Second, 2)
 	if w.Stop(h) || w.Stop(Handle{}) || w.Len() != 1 {
-		t.Error("an old handle has stopped another timer")
+		t.Error("a stale handle stopped another timer")
 	}
 }
 
 type heapTimer struct {
 	at time.Duration
 	id int
-	i  int
+	i  int // index in the heap
 }
 type timerHeap []*heapTimer
 
@@ -123,7 +124,8 @@
 	return x
 }
 
-// Most timers of a call are stopped before they fire: one set and one stop among n, beside container/heap.
+// Measures one Set and one Stop among n timers, in comparison with container/heap, since most timers of a call are stopped
+// before they fire.
 func BenchmarkSetStop(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		after := func(r *rand.Rand) time.Duration { return time.Duration(r.Int64N(int64(10 * time.Second))) }
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -113,11 +113,11 @@
 				rsc++
 			}
 		}
-		al, ok := findAction[StartTimer](acts)
+		timer, ok := findAction[StartTimer](acts)
 		if !ok {
 			t.Fatal("no timer was started: the circuit would stay busy for ever")
 		}
-		g.TimerExpired(al.TimerID)
+		g.TimerExpired(timer.TimerID)
 	}
 	if rel != 20 || rsc < 5 { // T5 / T1 = 20, the first transmission included
 		t.Errorf("sent %d RELs and %d RSCs, want 20 and at least 5", rel, rsc)
@@ -136,10 +136,10 @@
 	g := newGroup(t, 1, 2, 1)
 	cic, _ := g.Seize(1)
 	g.Release(cic, isup.CauseNormal, 0)
-	al, _ := findAction[StartTimer](takeActions(g))
+	timer, _ := findAction[StartTimer](takeActions(g))
 	g.FromFar(&isup.Message{Type: isup.RLC, CIC: cic})
 	g.Seize(2)
-	g.TimerExpired(al.TimerID)
+	g.TimerExpired(timer.TimerID)
 	if len(g.Actions) != 0 {
 		t.Errorf("a timer of the previous call caused actions: %+v", g.Actions)
 	}
@@ -208,8 +208,8 @@
 	}
 	g.Sync()
 	idle := isup.Message{Type: isup.CQR, CIC: 1, Range: 1, Circuits: []byte{isup.CircuitIdle, isup.CircuitIdle}}
-	al, _ := findAction[StartTimer](takeActions(g))
-	g.TimerExpired(al.TimerID)
+	timer, _ := findAction[StartTimer](takeActions(g))
+	g.TimerExpired(timer.TimerID)
 	if m, ok := findAction[SendToFar](takeActions(g)); !ok || m.Msg.Type != isup.CQM {
 		t.Fatal("the CQM was not retransmitted")
 	}
