--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -134,7 +134,7 @@
 
 // For any rates of the clients, the limit of all holds, no client gets less than its max-min fair share, and no capacity
 // is unused while a client could use it.
-func TestFairness(t *testing.T) {
+func TestAdmittedRatesAreMaxMinFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rates := rapid.SliceOfN(rapid.Float64Range(1, 400), 1, 8).Draw(t, "rates")
 		limit := rapid.Float64Range(50, 800).Draw(t, "limit")
--- a/hooks/hooks_test.go
+++ b/hooks/hooks_test.go
@@ -43,10 +43,10 @@
 		"on arrival {\n\tset_class(\"moon\")\n}\n")
 	a := runHooks(s, script.Arrival, 1)
 	if a.Class != "storm" || a.Tenant != "city" || fmt.Sprint(a.Tags) != "[a b]" || a.Refuse != 0 || len(a.Failed) != 2 {
-		t.Errorf("%+v", a)
+		t.Errorf("advice on arrival: %+v", a)
 	}
 	if a := runHooks(s, script.Route, 1); fmt.Sprint(a.Exclude) != "[1 2 3]" {
-		t.Errorf("%+v", a)
+		t.Errorf("advice on route: %+v, want exclusions [1 2 3]", a)
 	}
 }
 
@@ -104,7 +104,7 @@
 func TestBreakerOpensAboveHalfOfRunsFailed(t *testing.T) {
 	for _, c := range []struct {
 		every int
-		out   bool
+		open  bool
 	}{{4, false}, {3, false}, {1, true}} {
 		var b breaker
 		for i := range 200 {
@@ -112,7 +112,7 @@
 				b.recordRun(time.Hour, i%c.every == 0, 1)
 			}
 		}
-		if (b.openSpan > 0) != c.out {
+		if (b.openSpan > 0) != c.open {
 			t.Errorf("one of %d runs fails: breaker open %v", c.every, b.openSpan > 0)
 		}
 	}
--- a/hooks/set.go
+++ b/hooks/set.go
@@ -78,7 +78,8 @@
 	stats   Stats
 }
 
-// Stats are the counters of a hook.
+// Stats are the counters of a hook. Skipped counts the runs that its breaker prevented, Timeouts the calls that continued
+// without an answer in time.
 type Stats struct {
 	Runs, Failures, Skipped, Timeouts uint64
 	Steps                             uint64
--- a/timer/wheel.go
+++ b/timer/wheel.go
@@ -21,8 +21,8 @@
 	gen   uint32
 }
 
-// Wheel holds timers with a payload each. A timer fires in the first Advance to a time not before its own, rounded up to a
-// whole tick: never early, and at most one tick late. A Wheel is not safe for concurrent use.
+// Wheel holds timers with a payload each. The time of a timer is rounded up to a whole tick, and the timer fires in the
+// first Advance to that tick or beyond. A Wheel is not safe for concurrent use.
 type Wheel[T any] struct {
 	tick     time.Duration
 	current  uint64    // the last tick that has been handled
@@ -94,7 +94,7 @@
 	for level < levels-1 && delta >= 1<<(slotBits*(level+1)) {
 		level++
 	}
-	if top := uint64(1)<<(slotBits*levels) - 1; delta > top { // beyond the range of the wheel: placed again when that tick is reached
+	if top := uint64(1)<<(slotBits*levels) - 1; delta > top { // beyond the range of the wheel: placed again within it
 		delta = top
 	}
 	s := (w.current + delta) >> (slotBits * level) & mask
--- a/trunk/trunk.go
+++ b/trunk/trunk.go
@@ -586,7 +586,7 @@
 }
 
 // Down records that signalling to the far switch is lost. Calls being set up are lost at once, established ones after
-// SignallingHold unless Sync is called before. From then on the far switch's response decides about them.
+// SignallingHold unless Sync is called before. After Sync the far switch's responses decide which calls continue.
 func (g *Group) Down() {
 	g.inSync, g.gen = false, g.gen+1
 	clear(g.queries)
