--- a/timer/wheel.go
+++ b/timer/wheel.go
@@ -27,7 +27,7 @@
 	tick     time.Duration
 	current  uint64    // the last tick that has been handled
 	n        int       // number of timers set
-	nodes    []node[T] // the slab; index 0 is not used, since 0 stands for none in links
+	nodes    []node[T] // the slab; index 0 is not used, since links use 0 for none
 	freeList int32     // first free node
 	heads    [levels][slots]int32
 	tails    [levels][slots]int32
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -81,7 +81,7 @@
 		t.Errorf("FarSeized at the controlling end returned %v", v)
 	}
 	if m, ok := findAction[SendToOwn](takeActions(a)); !ok || m.Msg.Type != isup.RSC {
-		t.Error("the own switch is not told to disregard the far end's call")
+		t.Error("no RSC was sent to the own switch for the far end's call")
 	}
 	if v := b.FarSeized(x, 0); v != SeizureAccepted {
 		t.Errorf("FarSeized at the other end returned %v", v)
