--- a/policy/api.go
+++ b/policy/api.go
@@ -53,7 +53,8 @@
 	Gone
 )
 
-// Entry is one exchange of the list. A machine that replaces another has a new Address and the same PointCode.
+// Entry is one exchange of the list. A machine that replaces another has a new Address and the same
+// PointCode.
 type Entry struct {
 	Address   string
 	PointCode int
@@ -111,12 +112,13 @@
 	}
 	// Offered hands a call to the controller, which owes it one final answer before Due.
 	Offered struct {
-		Call          uint64
-		Class         int
-		Tenant        int
-		Number        string // the dialled number
-		Destination   int    // point code of the destination exchange (pools: first choice)
-		AdvisedTandem int    // tandem with most room as a centre saw it, or -1; in transit: where it comes from
+		Call        uint64
+		Class       int
+		Tenant      int
+		Number      string // the dialled number
+		Destination int    // point code of the destination exchange (pools: first choice)
+		// AdvisedTandem is the tandem with most room as a centre saw it, or -1; in transit: its origin.
+		AdvisedTandem int
 		Circuits      float64
 		Due           time.Duration
 		Transit       bool  // sent here by another exchange: on to its destination or back
@@ -153,8 +155,8 @@
 	}
 	// CallerReleased tells that the caller has left.
 	CallerReleased struct{ Call uint64 }
-	// Status is an answer to Probe, or unasked word that a trunk group or a load has changed. Of the own exchange, by
-	// its address in the list, it tells the own lateness in Wait.
+	// Status is an answer to Probe, or unasked word that a trunk group or a load has changed. Of the own
+	// exchange, by its address in the list, it tells the own lateness in Wait.
 	Status struct {
 		Exchange string
 		Asked    bool // an answer to Probe
@@ -179,14 +181,15 @@
 type Action interface{ action() }
 
 type (
-	// SetUp starts an attempt: the direct route if Exchange is the destination, else over it as tandem. TimeOut
-	// runs until Alerting or Established.
+	// SetUp starts an attempt: the direct route if Exchange is the destination, else over it as tandem.
+	// TimeOut runs until Alerting or Established.
 	SetUp struct {
 		Call     uint64
 		Exchange string
 		TimeOut  time.Duration
 	}
-	// Refuse is the final answer that a call is rejected. Its caller is asked to stay away for Wait; 0: not asked.
+	// Refuse is the final answer that a call is rejected. Its caller is asked to stay away for Wait; 0: not
+	// asked.
 	Refuse struct {
 		Call uint64
 		Wait time.Duration
--- a/policy/view.go
+++ b/policy/view.go
@@ -20,8 +20,10 @@
 // View appends what the controller holds of each exchange, the own one first.
 func (c *Engine) View(out []View) []View {
 	see := func(x *exchange) View {
-		return View{PointCode: x.code, Address: x.addr, Health: x.health, Launched: x.launched, Cold: c.cold(x),
-			Window: x.window, SlotsHeld: x.held, Load: x.seen, Silent: x.silent, Free: x.free, Size: x.size, Pending: len(x.out)}
+		return View{PointCode: x.code, Address: x.addr,
+			Health: x.health, Launched: x.launched, Cold: c.cold(x),
+			Window: x.window, SlotsHeld: x.held, Load: x.seen, Silent: x.silent,
+			Free: x.free, Size: x.size, Pending: len(x.out)}
 	}
 	out = append(out, see(c.own))
 	for _, x := range c.order {
