--- a/policy/engine.go
+++ b/policy/engine.go
@@ -1,9 +1,10 @@
-// Package policy decides for one call control of a mesh of exchanges. Read api.go first: it holds the
-// settings, the events and the actions. This file holds every decision and every tuned value.
+// Package policy holds the overload control and the routing of one call controller in a mesh of exchanges.
+// It sees events and returns actions, see api.go. This file holds every decision and every tuned value.
 //
-// The mechanism is the fuzzy window: per far processor a window of first set-ups awaiting an answer,
-// resized each step by Table I from that processor's load and from the share of its slots held. The own
-// processor has a window of the same kind.
+// Overload control keeps a window per far processor: the number of set-ups that may await an answer there at
+// the same time. Each step resizes the window by a fuzzy rule table, Table I. Its inputs are the load of that
+// processor and the share of the window's slots that were held. The own processor has a window of the same
+// kind. Calls in transit take no slot.
 package policy
 
 import (
@@ -16,1050 +17,1131 @@
 	"time"
 )
 
-// The window and its step.
+// Windows and load.
 const (
-	stepEvery     = 500 * time.Millisecond // between two steps of the windows
-	startWindow   = 20.0                   // slots at start, shared by all senders to a processor
-	ownStart      = 6.0                    // own window at start: a few times what is out usually
-	maxWindow     = 200.0                  // ceiling of a window
-	minSlots      = 1                      // a window always lets one set-up through
-	holdAtMost    = time.Second            // a call without a slot or circuit waits no longer
-	pressureDecay = 0.5                    // part of the evidence of load that is left after a step
-	slowShare     = 0.5                    // an answer that takes this share of the shortest aim is full load
-	reportKept    = 2 * time.Second        // a load report older than this is not read
-	stallAt       = 150 * time.Millisecond // a step that comes so late: the controller itself stood still
-
-	// The fuzzy sets: where Low ends, Medium peaks and High is full. High begins at the middle, so a reading
-	// below 0.6 is never High.
-	setLow, setMid, setHigh = 0.3, 0.6, 0.9
-
-	// The outputs of Table I.
-	fastDec, dec, slowDec, noChange, slowInc, inc = -0.6, -0.35, -0.15, 0.0, 0.15, 0.4
+	stepInterval       = 500 * time.Millisecond // time between two steps
+	initialWindowTotal = 20.0                   // slots at one processor, shared by all controllers
+	ownInitialWindow   = 6.0                    // slots, a few times the set-ups that are usually outstanding
+	maxWindow          = 200.0                  // slots
+	minSlots           = 1                      // a window always admits one set-up
+	maxHold            = time.Second            // longest wait of a call for a slot or a circuit
+	evidenceDecay      = 0.5                    // share of the load evidence that is kept from step to step
+	fullLoadDelayShare = 0.5                    // of the shortest aim: an answer delay that is full load
+	reportMaxAge       = 2 * time.Second        // older load reports are ignored
+	stallThreshold     = 150 * time.Millisecond // a step this late shows that the controller stalled
+
+	// Breakpoints of the fuzzy sets: Low is full up to lowFull, Medium peaks at mediumPeak, and High is full
+	// from highFull. High begins at mediumPeak, so a reading below 0.6 is never High.
+	lowFull, mediumPeak, highFull = 0.3, 0.6, 0.9
+
+	// Outputs of Table I: relative change of a window in one step.
+	fastDecrease, decrease, slowDecrease,
+	noChange, slowIncrease, increase = -0.6, -0.35, -0.15, 0.0, 0.15, 0.4
 
 	// Routes and circuits.
-	slotsForPrior  = 1               // slots beyond the window for calls of higher worth and cut calls
-	quotaBurst     = 15.0            // calls that a tenant may have in hand of its quota
-	maxTandems     = 2               // tandems tried for a call
-	keptForDirect  = 2               // circuits of a group that transit and tandem calls leave free
-	keptPart       = 0.05            // ... but of a thin group only this part, rounded up
-	turnedBackKept = 2 * time.Second // a tandem that turned back is skipped for that destination so long ...
+
+	prioritySlots    = 1               // slots beyond the window for priority calls, see hasPriority
+	quotaBurst       = 15.0            // calls; limit of the quota that a tenant can save up
+	maxTandems       = 2               // tandems tried per call
+	reservedCircuits = 2               // circuits per group reserved for direct calls, see circuitReserve
+	reservedShare    = 0.05            // limit of the reserve as a share of the group, rounded up
+	crankbackBackOff = 2 * time.Second // after a crankback the tandem is skipped for that destination
 
 	// Health of far processors.
-	silentAfter   = 2                      // set-ups without any sign of life: the exchange is silent
-	overdueAt     = 0.75                   // share of the shortest aim after which an answer is overdue
-	trialRate     = 16.0                   // trial calls a second that all controllers together make to it
-	answerSpare   = 15 * time.Millisecond  // a held call is answered so long before its due time
-	pause         = time.Second            // what is full, busy or silent gets nothing for so long at least
-	fullInRow     = 3                      // so many turned away in a row by a quick exchange: it is full
-	minTimeOut    = 300 * time.Millisecond // no attempt is given less
-	lostDecay     = 0.9                    // part of it left after a step
-	lossy         = 1.5                    // set-ups lost, decayed, from which on attempts are made again
-	distanceGrows = 100                    // a distance grows by such a part a step till an answer is quicker
-	tails         = 3                      // usual answer times after which an answer is taken for lost
-	numberKept    = 10 * time.Second       // a number is forgotten after this; till then a call is a redial
-	coldUse       = 2.4                    // of the budget that usual sends fill: a part of what it can do
-	alike         = 4.0                    // sends that the mean of all counts for in the usual rate of one
-	usualWeight   = 0.05                   // weight of one step in the usual rate of sends
+
+	unresponsiveAfter   = 2                      // set-ups in a row without any response
+	overdueShare        = 0.75                   // an answer is overdue after this share of the shortest aim
+	probeCallRate       = 16.0                   // probe calls per second to an exchange, of all controllers
+	answerMargin        = 15 * time.Millisecond  // a hold ends at least this long before the due time
+	minBackOff          = time.Second            // for full exchanges, busy numbers and between probe calls
+	fullAfterRejections = 3                      // rejections in a row by a lightly loaded exchange
+	minAttemptTimeOut   = 300 * time.Millisecond // shorter only if the call itself is due earlier
+	lossDecay           = 0.9                    // share of the counted losses kept from step to step
+	lossThreshold       = 1.5                    // losses from which on lost set-ups are retried
+	// baseDelayGrowthDivisor lets a base delay grow by 1/100 per step until a quicker answer lowers it, so
+	// that it follows a path that has become longer.
+	baseDelayGrowthDivisor = 100
+	answerTimeMultiple     = 3                // usual answer times after which an answer is lost
+	numberRetention        = 10 * time.Second // until then a new call to a refused number is a redial
+	capacityMultiple       = 2.4              // assumed capacity, as a multiple of the usual rate
+	meanRateWeight         = 4.0              // set-ups; weight of the mean rate of all exchanges
+	usualRateWeight        = 0.05             // weight of one step in the moving average of the usual rate
 )
 
-const stepTimer = uint64(1) << 40 // the timer of the steps; calls have timers of their own id, below it
-
-// exchange is a far processor, or the own one.
-type exchange struct {
-	code     int
-	addr     string
-	health   Health
-	launched time.Duration
-	waiting  []*call // held calls to it, in the order of before
-
-	window    float64       // Wmax
-	start     float64       // ... at the start
-	held      int           // slots held now
-	heldSum   time.Duration // slot time held in this step
-	heldAt    time.Duration // heldSum is kept up to here
-	heldAvg   [2]float64    // mean slots held, last step and the one before
-	peak      int           // most slots held in this step
-	fullUntil time.Duration // it was full: no set-ups until then, each would be work for nothing
-	fulls     int           // set-ups turned away as full since it last took one
-
-	answers, pressure float64 // decayed number of answers and the load that they showed
-	load, latest      float64 // load by the last report, and as its latest answer read
-	seen              float64 // first input of the last step
-	loadAt            time.Duration
-	wait              time.Duration // by the last report; 0: not told
-	distance          time.Duration // the least that its answers take; 0: not known
-	free, size        float64       // circuits of the trunk group; a size below zero is unknown
-
-	out        []*call // attempts out towards it that its processor has, by time of send
-	lastAnswer time.Duration
-	lost       float64 // decayed number of set-ups lost while others were answered quickly
-	unanswered int
-	silent     bool
-	trialAt    time.Duration
-	turned     map[int]turnBacks // as tandem: by destination, the calls that it turned back
-	via        int               // as destination: the tandem that last carried a call, tried first
-
-	sends           []time.Duration // sends within the last CrashSpan
-	permit, every   time.Duration   // of a cold budget below one send: of the next, and between two
-	usual, steps    float64         // usual set-ups a second sent to it while it is warm, by so many steps
-	sentStep, taken int             // set-ups sent to it in this step, and answered by it
+// stepTimer is the timer of the steps. A call's timer has the id of the call, which is below it.
+const stepTimer = uint64(1) << 40
+
+// exchangeState is what the controller knows of a far exchange, or of its own.
+type exchangeState struct {
+	pointCode int
+	address   string
+	health    Health
+	startedAt time.Duration
+	queue     []*callState // held calls to it, in the order of compareHeld
+
+	window         float64       // size in slots (Wmax)
+	initialWindow  float64       // slots
+	slotsHeld      int           // slots held now
+	slotTime       time.Duration // time for which slots were held in this step, summed over the slots
+	slotTimeUntil  time.Duration // slotTime is accounted up to here
+	meanSlotsHeld  [2]float64    // mean slots held in the last step and in the one before
+	peakSlotsHeld  int           // most slots held in this step
+	fullUntil      time.Duration // its processor was full: no set-ups before this time
+	fullRejections int           // set-ups rejected by a full processor since one was last accepted
+
+	loadSamples, loadSum    float64       // decayed number of load samples, and the sum of their loads
+	load, latestLoad        float64       // load by the last report, and by the latest sample
+	stepLoad                float64       // load input of the last step
+	loadReportedAt          time.Duration // time of the report behind load; 0: none
+	wait                    time.Duration // queueing delay by the last report; 0: not reported
+	baseDelay               time.Duration // shortest answer delay: distance, no load; 0: not known
+	freeCircuits, groupSize float64       // circuits of the trunk group; a size below zero is unknown
+
+	outstanding   []*callState // attempts that its processor has yet to answer, by time of sending
+	lastAnswerAt  time.Duration
+	losses        float64 // decayed number of set-ups lost while others were answered quickly
+	unanswered    int     // set-ups in a row without any response
+	unresponsive  bool
+	nextProbeCall time.Duration           // no probe call before this time
+	crankbacks    map[int]crankbackRecord // as tandem: crankbacks by destination
+	lastTandem    int                     // as destination: tandem that last carried a call; -1: none
+
+	recentSends []time.Duration // times of the set-ups sent within the last CrashSpan
+	// nextColdSend and coldSendInterval spread the set-ups of a cold budget below one per CrashSpan.
+	nextColdSend, coldSendInterval time.Duration
+	// usualRate is a moving average of the set-ups per second sent to it while it was warm, over rateSteps.
+	usualRate, rateSteps       float64
+	sentInStep, answeredInStep int // set-ups sent to it in this step, and answered by it
 }
 
-// turnBacks counts the calls to one destination that a tandem has turned back since it last carried one.
-type turnBacks struct {
-	n    int
-	last time.Duration
+// crankbackRecord counts the calls to one destination that a tandem turned back since it last carried one. A
+// tandem that carried the last one has n = -1.
+type crankbackRecord struct {
+	n      int
+	lastAt time.Duration
 }
 
+// phase is the state of a call.
 type phase uint8
 
 const (
-	held phase = iota
-	setting
-	standing
-	over
+	phaseHeld phase = iota
+	phaseSettingUp
+	phaseEstablished
+	phaseOver
 )
 
-// call is a call that is owed an answer, or stands.
-type call struct {
+// callState is a call that awaits its final answer or is established.
+type callState struct {
 	Offered
-	phase           phase
-	arrived, aimEnd time.Duration
-	holdUntil       time.Duration
-	earliest        time.Duration // not sent before: the release is awaited
-	worth           float64
-	attempts        int
-	tried           []int     // tandems already tried
-	to              *exchange // where the attempt out has gone
-	slotted         bool      // it holds a slot at to and at the own exchange
-	rings           bool      // the processor's part of the attempt out is over
-	sentAt          time.Duration
-	mayRun          bool // an attempt may have been carried out
-	missed          bool // its attempt is known to be unanswered
-	waits           bool // it is in the line of its destination
-	late            bool // its aim cannot be met
-	low             bool // it earns little: its aim cannot be met, or its tenant is beyond its quota
+	phase             phase
+	arrivedAt, aimEnd time.Duration
+	holdUntil         time.Duration
+	notBefore         time.Duration // no attempt before this time: the guard after the last one runs
+	worth             float64
+	attempts          int
+	triedTandems      []int
+	target            *exchangeState // exchange of the outstanding attempt; nil: none
+	holdsSlot         bool           // it holds a slot at target and at the own exchange
+	alerted           bool           // the target's processor has done its part of the attempt
+	sentAt            time.Duration
+	maybeExecuted     bool // an earlier attempt may have been carried out
+	countedUnanswered bool // the attempt is not to be counted as unanswered (again)
+	queued            bool // it is in the queue of its destination
+	late              bool // its aim cannot be met
+	lowPriority       bool // it is late, or its tenant is beyond its quota
 }
 
-// number is the evidence on one dialled number.
-type number struct {
-	busyAt            time.Duration
-	out               int
-	refusedAt, aimEnd time.Duration // a call to it was last refused then; its aim ends then
+// dialledNumber is what is known of a dialled number.
+type dialledNumber struct {
+	busyAt      time.Duration // when its lines were last found busy; 0: never
+	outstanding int           // attempts to it
+	// refusedAt is when a call to it was last refused or failed; aimEnd is the end of that call's aim.
+	refusedAt, aimEnd time.Duration
 }
 
-// Engine is one call control. It is not safe for concurrent use.
+// Engine makes the decisions of one call controller. It is not safe for concurrent use.
 type Engine struct {
-	cfg        Config
-	now        time.Duration
-	out        []Action
-	own        *exchange
-	exchanges  map[int]*exchange
-	order      []*exchange // by point code
-	byAddr     map[string]*exchange
-	calls      map[uint64]*call
-	wanted     []*exchange // those with held calls
-	lines      [][]*call   // of serve, and
-	line       []*call     // what they are parts of
-	numbers    map[string]*number
-	stepDue    time.Duration // when the next step is due
-	resumed    time.Duration // when the controller last went on after a stall
-	aim        time.Duration // shortest aim of all classes
-	slow       time.Duration // an answer that takes so long reads as full load
-	least      float64       // lowest worth of a class
-	trialEvery time.Duration // between two trial calls of this controller
-	quotas     float64       // of all tenants
-	usual      float64       // mean of the usual rates of exchanges
-	credit     []float64     // per tenant, calls that it has left within its quota
-	ownWait    time.Duration // wait at the own processor
-	heard      int           // answers to direct set-ups in this step ...
-	leastTime  time.Duration // ... and the least of their times
-	answerTime time.Duration // usual time of an answer of any exchange
+	cfg                Config
+	now                time.Duration
+	out                []Action // actions for the event in hand
+	own                *exchangeState
+	exchanges          map[int]*exchangeState
+	byPointCode        []*exchangeState // the far exchanges, sorted
+	byAddress          map[string]*exchangeState
+	calls              map[uint64]*callState
+	queuedDestinations []*exchangeState // exchanges with held calls
+	scanQueues         [][]*callState   // buffer of retryHeld: the queues that it scans
+	scanCalls          []*callState     // buffer of retryHeld that scanQueues are slices of
+	numbers            map[string]*dialledNumber
+	nextStepAt         time.Duration
+	resumedAt          time.Duration // end of the controller's last stall
+	shortestAim        time.Duration // of all classes
+	fullLoadDelay      time.Duration // an answer delay that counts as full load
+	lowestWorth        float64       // of all classes
+	probeCallInterval  time.Duration // time between two probe calls of this controller to an exchange
+	quotaTotal         float64       // of all tenants, in calls per second
+	usualRate          float64       // mean of the usual rates of the exchanges
+	quotaCredit        []float64     // per tenant, calls left within its quota
+	ownWait            time.Duration // queueing delay at the own processor
+	directAnswers      int           // answers to direct set-ups in this step
+	minAnswerTime      time.Duration // shortest time of these answers
+	usualAnswerTime    time.Duration // moving average over the direct set-ups to all exchanges
 }
 
-// New makes a controller.
+// New returns an Engine for the given configuration.
 func New(cfg Config) (*Engine, error) {
 	if len(cfg.Classes) == 0 {
-		return nil, errors.New("no call classes")
+		return nil, errors.New("no call classes configured")
 	}
 	if min(cfg.Guard, cfg.Repeat, cfg.WarmUp, cfg.CrashSpan) < 0 ||
 		min(cfg.ColdShare, cfg.CrashMultiple, float64(cfg.MaxAttempts), float64(cfg.Controllers)) < 0 {
-		return nil, errors.New("a negative time, share or number")
-	}
-	c := &Engine{cfg: cfg, aim: math.MaxInt64, least: math.MaxFloat64,
-		exchanges: map[int]*exchange{}, byAddr: map[string]*exchange{},
-		calls: map[uint64]*call{}, numbers: map[string]*number{}, credit: make([]float64, len(cfg.Tenants))}
-	for i, cl := range cfg.Classes {
-		if cl.Aim <= 0 || cl.Worth < 0 {
+		return nil, errors.New("a time, a share or a number in the configuration is negative")
+	}
+	c := &Engine{cfg: cfg, shortestAim: math.MaxInt64, lowestWorth: math.MaxFloat64,
+		exchanges: map[int]*exchangeState{}, byAddress: map[string]*exchangeState{},
+		calls: map[uint64]*callState{}, numbers: map[string]*dialledNumber{},
+		quotaCredit: make([]float64, len(cfg.Tenants))}
+	for i, class := range cfg.Classes {
+		if class.Aim <= 0 || class.Worth < 0 {
 			return nil, fmt.Errorf("class %d: the aim must be positive and the worth not negative", i)
 		}
-		c.aim, c.least = min(c.aim, cl.Aim), min(c.least, cl.Worth)
+		c.shortestAim, c.lowestWorth = min(c.shortestAim, class.Aim), min(c.lowestWorth, class.Worth)
 	}
 	for i, t := range cfg.Tenants {
-		c.credit[i], c.quotas = quotaBurst, c.quotas+t.Quota
+		c.quotaCredit[i], c.quotaTotal = quotaBurst, c.quotaTotal+t.Quota
 	}
-	c.slow = time.Duration(slowShare * float64(c.aim))
-	if cfg.Repeat > 0 { // set-ups that wait longer are sent again, and each repeat is work
-		c.slow = min(c.slow, cfg.Repeat)
+	c.fullLoadDelay = time.Duration(fullLoadDelayShare * float64(c.shortestAim))
+	if cfg.Repeat > 0 { // a set-up that waits longer is retransmitted, and that adds work
+		c.fullLoadDelay = min(c.fullLoadDelay, cfg.Repeat)
 	}
-	c.trialEvery = max(pause, time.Duration(float64(cfg.Controllers-1)/trialRate*float64(time.Second)))
-	c.own = &exchange{code: cfg.Self, window: ownStart, start: ownStart}
+	c.probeCallInterval = max(minBackOff,
+		time.Duration(float64(cfg.Controllers-1)/probeCallRate*float64(time.Second)))
+	c.own = &exchangeState{pointCode: cfg.Self, window: ownInitialWindow, initialWindow: ownInitialWindow}
 	return c, nil
 }
 
-// Handle takes one event at the time now and appends to out what is to be done.
+// Handle processes one event at the time now and appends the resulting actions to out.
 func (c *Engine) Handle(now time.Duration, ev Event, out []Action) []Action {
-	if c.stepDue > 0 && now > c.stepDue+stallAt {
-		c.resume(now)
+	if c.nextStepAt > 0 && now > c.nextStepAt+stallThreshold {
+		c.noteStall(now)
 	}
 	c.now, c.out = now, out
-	if c.stepDue == 0 {
-		c.nextStep()
+	if c.nextStepAt == 0 {
+		c.scheduleStep()
 		if c.cfg.SubscribeToList {
-			c.do(Subscribe{})
+			c.emit(Subscribe{})
 		}
 	}
 	switch ev := ev.(type) {
 	case List:
-		c.list(ev)
+		c.handleList(ev)
 	case Offered:
-		c.offered(ev)
+		c.handleOffered(ev)
 	case Alerting:
-		c.alerting(ev)
+		c.handleAlerting(ev)
 	case Established:
-		c.established(ev)
+		c.handleEstablished(ev)
 	case AttemptEnded:
-		c.returned(ev)
+		c.handleAttemptEnded(ev)
 	case CallerReleased:
-		if k := c.calls[ev.Call]; k != nil && k.phase != over {
-			c.end(k, false)
+		if call := c.calls[ev.Call]; call != nil && call.phase != phaseOver {
+			c.endCall(call, false)
 		}
 	case Status:
-		if x := c.byAddr[ev.Exchange]; x != nil {
-			c.report(x, &ev.Report)
-			if x != c.own {
-				c.serve(x)
+		if exchange := c.byAddress[ev.Exchange]; exchange != nil {
+			c.applyReport(exchange, &ev.Report)
+			if exchange != c.own {
+				c.retryHeld(exchange)
 			}
 		}
 	case Timer:
 		if ev.ID == stepTimer {
-			c.nextStep()
-			if c.now > c.resumed { // what a stall has done to the shares of slots held is no far load
-				c.step()
+			c.scheduleStep()
+			if c.now > c.resumedAt { // slots held during a stall are no far load: no step then
+				c.resizeWindows()
 			}
-		} else if k := c.calls[ev.ID]; k != nil && k.phase == held {
-			c.place(k)
-			if k.phase == held { // a timer may come a little early: without another the call would be lost
-				c.wake(k)
+		} else if call := c.calls[ev.ID]; call != nil && call.phase == phaseHeld {
+			c.placeCall(call)
+			if call.phase == phaseHeld {
+				// The timer may fire slightly early. Without a new one the call would get no final answer.
+				c.setHoldTimer(call)
 			}
-		} else if k != nil && k.rings && k.slotted {
-			c.free(k)
-			c.serve(nil)
+		} else if call != nil && call.alerted && call.holdsSlot {
+			c.releaseSlots(call)
+			c.retryHeld(nil)
 		}
 	}
 	out, c.out = c.out, nil
 	return out
 }
 
-func (c *Engine) nextStep() {
-	c.stepDue = c.now + stepEvery
-	c.do(SetTimer{ID: stepTimer, After: stepEvery})
+// scheduleStep sets the timer of the next step.
+func (c *Engine) scheduleStep() {
+	c.nextStepAt = c.now + stepInterval
+	c.emit(SetTimer{ID: stepTimer, After: stepInterval})
 }
 
-// resume notes that the controller stood still: its own timer comes late, and all that happened meanwhile
-// comes at once. Late answers and slots held so long are its own doing and tell of no far load.
-func (c *Engine) resume(now time.Duration) {
-	c.resumed, c.stepDue, c.now = now, now, now
-	for _, x := range append(c.order, c.own) {
-		c.slot(x, 0)
-		x.heldSum = 0
+// noteStall records that the controller stalled, which the late step timer shows. The events of that time
+// arrive all at once; late answers and slots held meanwhile are due to the stall and show no far load.
+func (c *Engine) noteStall(now time.Duration) {
+	c.resumedAt, c.nextStepAt, c.now = now, now, now
+	for _, exchange := range append(c.byPointCode, c.own) {
+		c.adjustSlots(exchange, 0)
+		exchange.slotTime = 0
 	}
 }
 
-func (c *Engine) do(a Action) { c.out = append(c.out, a) }
+// emit adds an action to those that Handle returns.
+func (c *Engine) emit(a Action) { c.out = append(c.out, a) }
 
-// list follows the list of exchanges.
-func (c *Engine) list(ev List) {
+// handleList applies an update of the list of exchanges.
+func (c *Engine) handleList(ev List) {
 	if ev.Failed {
 		if c.cfg.SubscribeToList {
-			c.do(Subscribe{})
+			c.emit(Subscribe{})
 		}
 		return
 	}
-	seen := map[int]bool{}
-	for _, e := range ev.Entries {
-		if e.PointCode == c.cfg.Self && !c.cfg.Pools {
-			c.byAddr[e.Address] = c.own // for what is told of the own lateness
+	listed := map[int]bool{}
+	for _, entry := range ev.Entries {
+		if entry.PointCode == c.cfg.Self && !c.cfg.Pools {
+			c.byAddress[entry.Address] = c.own // for status updates of the own processor
 			continue
 		}
-		x := c.exchanges[e.PointCode]
-		if x == nil {
-			x = &exchange{code: e.PointCode, addr: e.Address, health: e.Health,
-				launched: e.Launched, heldAt: c.now, turned: map[int]turnBacks{}, via: -1, size: -1,
-				start: max(minSlots, startWindow/float64(max(1, c.cfg.Controllers-1)))}
-			x.window = x.start
-			c.exchanges[e.PointCode] = x
-			at, _ := slices.BinarySearchFunc(c.order, x, func(a, b *exchange) int { return a.code - b.code })
-			c.order = slices.Insert(c.order, at, x)
+		exchange := c.exchanges[entry.PointCode]
+		if exchange == nil {
+			exchange = &exchangeState{pointCode: entry.PointCode, address: entry.Address,
+				health: entry.Health, startedAt: entry.Launched, slotTimeUntil: c.now,
+				crankbacks: map[int]crankbackRecord{}, lastTandem: -1, groupSize: -1,
+				initialWindow: max(minSlots, initialWindowTotal/float64(max(1, c.cfg.Controllers-1)))}
+			exchange.window = exchange.initialWindow
+			c.exchanges[entry.PointCode] = exchange
+			index, _ := slices.BinarySearchFunc(c.byPointCode, exchange,
+				func(a, b *exchangeState) int { return a.pointCode - b.pointCode })
+			c.byPointCode = slices.Insert(c.byPointCode, index, exchange)
 		}
-		c.byAddr[e.Address] = x
-		if e.Health == Gone { // a machine that is gone tells nothing more
-			defer delete(c.byAddr, e.Address)
+		c.byAddress[entry.Address] = exchange
+		if entry.Health == Gone { // reports of a removed machine are ignored after this update
+			defer delete(c.byAddress, entry.Address)
 		}
-		seen[e.PointCode] = seen[e.PointCode] || e.Health != Gone
+		listed[entry.PointCode] = listed[entry.PointCode] || entry.Health != Gone
 		switch {
-		case e.Address == x.addr:
-			x.health = e.Health
-		case e.Health == Ready && (x.health != Ready || e.Launched >= x.launched):
-			x.addr, x.health = e.Address, Ready // a replacement
+		case entry.Address == exchange.address:
+			exchange.health = entry.Health
+		case entry.Health == Ready && (exchange.health != Ready || entry.Launched >= exchange.startedAt):
+			exchange.address, exchange.health = entry.Address, Ready // another machine has replaced it
 		default:
 			continue
 		}
-		if e.Health == Ready && e.Launched > x.launched {
-			c.fresh(x, e.Launched)
+		if entry.Health == Ready && entry.Launched > exchange.startedAt {
+			c.noteRestart(exchange, entry.Launched)
 		}
 	}
-	for _, x := range c.order {
-		if ev.Full && !seen[x.code] {
-			x.health = Gone
+	for _, exchange := range c.byPointCode {
+		if ev.Full && !listed[exchange.pointCode] {
+			exchange.health = Gone
 		}
 	}
-	c.serve(nil)
+	c.retryHeld(nil)
 }
 
-// fresh notes that the processor of x has started anew: it is cold, and what was known of its load is void.
-func (c *Engine) fresh(x *exchange, launched time.Duration) {
-	x.launched, x.latest = launched, 1
-	for _, k := range x.out { // what its predecessor leaves unanswered says nothing of it
-		k.missed = true
+// noteRestart records that the processor of an exchange has started anew: it is cold, and what was known of
+// its load no longer applies.
+func (c *Engine) noteRestart(exchange *exchangeState, startedAt time.Duration) {
+	exchange.startedAt, exchange.latestLoad = startedAt, 1
+	for _, call := range exchange.outstanding { // set-ups left unanswered before the start do not count
+		call.countedUnanswered = true
 	}
-	x.silent, x.unanswered, x.answers, x.pressure, x.loadAt, x.permit, x.every = false, 0, 0, 0, 0, 0, 0
-	x.window = max(minSlots, x.window*c.cfg.ColdShare)
+	exchange.unresponsive, exchange.unanswered, exchange.loadSamples, exchange.loadSum,
+		exchange.loadReportedAt, exchange.nextColdSend, exchange.coldSendInterval = false, 0, 0, 0, 0, 0, 0
+	exchange.window = max(minSlots, exchange.window*c.cfg.ColdShare)
 }
 
-func (c *Engine) cold(x *exchange) bool {
-	return x.launched > 0 && c.now < x.launched+c.cfg.WarmUp
+// isCold reports whether an exchange is still warming up after a start.
+func (c *Engine) isCold(exchange *exchangeState) bool {
+	return exchange.startedAt > 0 && c.now < exchange.startedAt+c.cfg.WarmUp
 }
 
-// coldRoom tells whether one more set-up to x keeps within the own share of the cold budget. All controllers
-// together push a fresh processor over by more than CrashMultiple times what it can do in CrashSpan. It could
-// carry its usual load: each takes the part of the budget that it had of that. Of many controllers each has
-// less than one in a span: a token bucket of one, filled from where the own number puts it, so that not all
-// use theirs at once. While x has just answered as at a Low load, who has less than two may have one out.
-func (c *Engine) coldRoom(x *exchange) bool {
-	if !c.cold(x) {
+// withinColdBudget reports whether one more set-up to an exchange keeps within this controller's share of
+// the cold budget. A cold processor fails when all controllers together send it more than CrashMultiple
+// times its cold capacity within CrashSpan. The warm capacity is assumed to be capacityMultiple times the
+// usual rate, and each controller takes the share of the budget that it has of the usual rate.
+//
+// Among many controllers that share is less than one set-up per span. It is then a token bucket of one. The
+// first token comes at an offset that depends on the controller's index, so that not all controllers send at
+// once. While the latest answer shows a Low load, a controller whose share is below two set-ups may always
+// have one outstanding.
+func (c *Engine) withinColdBudget(exchange *exchangeState) bool {
+	if !c.isCold(exchange) {
 		return true
 	}
-	// Nothing known, all controllers take the first window in a span, and none more than one. Where little is
-	// sent to each exchange, the usual rate of one is mostly chance: the mean of all weighs in.
-	part := c.cfg.CrashMultiple * c.cfg.ColdShare
-	budget := min(1, part*startWindow/float64(max(1, c.cfg.Controllers-1)))
-	if seen := min(x.steps, 2/usualWeight) * stepEvery.Seconds(); c.usual > 0 {
-		budget = part * coldUse * c.cfg.CrashSpan.Seconds() * (x.usual*seen + alike) / (seen + alike/c.usual)
-	}
-	proved := x.latest <= setLow && len(x.out) == 0 && c.now < x.lastAnswer+c.cfg.CrashSpan
+	// Without a usual rate all controllers together may send the initial window per span, and none more than
+	// one set-up. Where few set-ups go to each exchange, the usual rate of one is mostly chance, so the mean
+	// rate of all exchanges counts too.
+	crashShare := c.cfg.CrashMultiple * c.cfg.ColdShare
+	budget := min(1, crashShare*initialWindowTotal/float64(max(1, c.cfg.Controllers-1)))
+	if observed := min(exchange.rateSteps, 2/usualRateWeight) * stepInterval.Seconds(); c.usualRate > 0 {
+		budget = crashShare * capacityMultiple * c.cfg.CrashSpan.Seconds() *
+			(exchange.usualRate*observed + meanRateWeight) / (observed + meanRateWeight/c.usualRate)
+	}
+	recentLowLoad := exchange.latestLoad <= lowFull && len(exchange.outstanding) == 0 &&
+		c.now < exchange.lastAnswerAt+c.cfg.CrashSpan
 	if budget >= 1 {
-		return float64(len(x.sends)+1) <= budget || proved && budget < 2
+		return float64(len(exchange.recentSends)+1) <= budget || recentLowLoad && budget < 2
 	}
-	x.every = time.Duration(min(float64(c.cfg.WarmUp), float64(c.cfg.CrashSpan)/budget))
-	_, turn := math.Modf(math.Phi * float64(c.cfg.Index+x.code))
-	x.permit = max(x.permit, x.launched+time.Duration(turn*float64(x.every)))
-	return x.permit <= c.now || proved
+	exchange.coldSendInterval = time.Duration(min(float64(c.cfg.WarmUp), float64(c.cfg.CrashSpan)/budget))
+	_, offset := math.Modf(math.Phi * float64(c.cfg.Index+exchange.pointCode))
+	exchange.nextColdSend = max(exchange.nextColdSend,
+		exchange.startedAt+time.Duration(offset*float64(exchange.coldSendInterval)))
+	return exchange.nextColdSend <= c.now || recentLowLoad
 }
 
-// offered takes a call.
-func (c *Engine) offered(ev Offered) {
+// handleOffered takes a new call and sends, holds or refuses it.
+func (c *Engine) handleOffered(ev Offered) {
 	if ev.Class < 0 || ev.Class >= len(c.cfg.Classes) {
 		ev.Class = 0
 	}
-	cl := &c.cfg.Classes[ev.Class]
+	class := &c.cfg.Classes[ev.Class]
 	if ev.Circuits <= 0 {
-		ev.Circuits = max(1, cl.Circuits)
-	}
-	k := &call{Offered: ev, arrived: c.now, worth: cl.Worth}
-	c.calls[ev.Call] = k
-	k.aimEnd = k.arrived + cl.Aim
-	// Dialled again, the aim runs from the first try. Where callers do not mark it, the number tells, but not
-	// one found busy, which many dial: mass calling would make strangers' first calls late.
-	if n := c.numbers[ev.Number]; ev.Transit {
-		k.aimEnd = ev.Due
-	} else if n != nil && !ev.CutBefore && n.refusedAt > 0 && c.now < n.refusedAt+numberKept &&
-		(ev.Redial || !c.cfg.MarksRedials && n.busyAt == 0) {
-		k.aimEnd = n.aimEnd
-	}
-	k.late = c.now+c.answerTime >= k.aimEnd
-	if k.low = k.late; k.late {
-		k.worth *= cl.LateWorth
-	}
-	if !ev.Transit && k.aimEnd == k.arrived+cl.Aim && c.overQuota(ev.Tenant) {
-		k.low = true
-		k.worth *= c.cfg.OverQuotaWorth
-	}
-	k.holdUntil = min(c.now+holdAtMost, k.aimEnd-c.answerTime, ev.Due-answerSpare)
-	c.place(k)
+		ev.Circuits = max(1, class.Circuits)
+	}
+	call := &callState{Offered: ev, arrivedAt: c.now, worth: class.Worth}
+	c.calls[ev.Call] = call
+	call.aimEnd = call.arrivedAt + class.Aim
+	// The aim of a redial runs from the first try. Where callers do not mark redials, a call to a number that
+	// was refused lately is taken for one, unless its lines were found busy: many callers may dial such a
+	// number (mass calling), and their first calls must not count as late.
+	if number := c.numbers[ev.Number]; ev.Transit {
+		call.aimEnd = ev.Due
+	} else if number != nil && !ev.CutBefore &&
+		number.refusedAt > 0 && c.now < number.refusedAt+numberRetention &&
+		(ev.Redial || !c.cfg.MarksRedials && number.busyAt == 0) {
+		call.aimEnd = number.aimEnd
+	}
+	call.late = c.now+c.usualAnswerTime >= call.aimEnd
+	if call.lowPriority = call.late; call.late {
+		call.worth *= class.LateWorth
+	}
+	if !ev.Transit && call.aimEnd == call.arrivedAt+class.Aim && c.overQuota(ev.Tenant) {
+		call.lowPriority = true
+		call.worth *= c.cfg.OverQuotaWorth
+	}
+	call.holdUntil = min(c.now+maxHold, call.aimEnd-c.usualAnswerTime, ev.Due-answerMargin)
+	c.placeCall(call)
 }
 
-// overQuota counts a first try of a tenant and tells whether it is beyond its quota. A controller does not
-// see what tenants send elsewhere, so each may have the part of the own traffic that its quota is of all.
+// overQuota counts a first try of a tenant and reports whether it is beyond the tenant's quota. A
+// controller does not see what tenants send to other controllers, so each tenant may have that share of the
+// calls offered here that its quota has of all quotas.
 func (c *Engine) overQuota(tenant int) bool {
 	if len(c.cfg.Tenants) < 2 || tenant < 0 || tenant >= len(c.cfg.Tenants) {
 		return false
 	}
 	for i, t := range c.cfg.Tenants {
-		c.credit[i] = min(quotaBurst, c.credit[i]+t.Quota/max(c.quotas, 1))
+		c.quotaCredit[i] = min(quotaBurst, c.quotaCredit[i]+t.Quota/max(c.quotaTotal, 1))
 	}
-	over := c.credit[tenant] < 1
-	if !over {
-		c.credit[tenant]--
+	exceeded := c.quotaCredit[tenant] < 1
+	if !exceeded {
+		c.quotaCredit[tenant]--
 	}
-	return over
+	return exceeded
 }
 
-// evidence notes an answer of x that took d.
-func (c *Engine) evidence(x *exchange, d time.Duration) {
-	x.latest = min(1, max(0, d.Seconds()/c.slow.Seconds()))
-	x.answers, x.pressure = x.answers+1, x.pressure+x.latest
+// addLoadSample records the load that an answer delay of an exchange shows.
+func (c *Engine) addLoadSample(exchange *exchangeState, delay time.Duration) {
+	exchange.latestLoad = min(1, max(0, delay.Seconds()/c.fullLoadDelay.Seconds()))
+	exchange.loadSamples, exchange.loadSum = exchange.loadSamples+1, exchange.loadSum+exchange.latestLoad
 }
 
-// place sends a call, holds it or refuses it.
-func (c *Engine) place(k *call) {
-	wait := true
-	if c.now >= k.earliest {
-		var x *exchange
-		if x, wait = c.route(k, nil); x != nil && c.send(k, x) {
-			c.unwait(k)
+// placeCall sends a call, holds it or ends it.
+func (c *Engine) placeCall(call *callState) {
+	mayHold := true
+	if c.now >= call.notBefore {
+		var exchange *exchangeState
+		if exchange, mayHold = c.route(call, nil); exchange != nil && c.sendSetUp(call, exchange) {
+			c.dequeue(call)
 			return
 		}
 	}
-	if !wait || c.now >= k.holdUntil || k.earliest >= k.holdUntil {
-		c.end(k, true)
+	if !mayHold || c.now >= call.holdUntil || call.notBefore >= call.holdUntil {
+		c.endCall(call, true)
 		return
 	}
-	if d := c.exchanges[k.Destination]; !k.waits && d != nil {
-		if len(d.waiting) == 0 && !slices.Contains(c.wanted, d) {
-			c.wanted = append(c.wanted, d)
+	if dest := c.exchanges[call.Destination]; !call.queued && dest != nil {
+		if len(dest.queue) == 0 && !slices.Contains(c.queuedDestinations, dest) {
+			c.queuedDestinations = append(c.queuedDestinations, dest)
 		}
-		at, _ := slices.BinarySearchFunc(d.waiting, k, before)
-		d.waiting, k.waits = slices.Insert(d.waiting, at, k), true
-		c.wake(k)
+		index, _ := slices.BinarySearchFunc(dest.queue, call, compareHeld)
+		dest.queue, call.queued = slices.Insert(dest.queue, index, call), true
+		c.setHoldTimer(call)
 	}
 }
 
-// unwait takes a call from the line of its destination.
-func (c *Engine) unwait(k *call) {
-	if d := c.exchanges[k.Destination]; k.waits {
-		at, _ := slices.BinarySearchFunc(d.waiting, k, before)
-		d.waiting, k.waits = slices.Delete(d.waiting, at, at+1), false
+// dequeue takes a call from the queue of its destination, if it is there.
+func (c *Engine) dequeue(call *callState) {
+	if dest := c.exchanges[call.Destination]; call.queued {
+		index, _ := slices.BinarySearchFunc(dest.queue, call, compareHeld)
+		dest.queue, call.queued = slices.Delete(dest.queue, index, index+1), false
 	}
 }
 
-// wake sets the timer of a held call: for the end of its release wait, then for the end of its hold.
-func (c *Engine) wake(k *call) {
-	at := k.holdUntil
-	if k.earliest > c.now {
-		at = k.earliest
+// setHoldTimer sets the timer of a held call to the end of its guard, or to the end of its hold if no guard
+// is running.
+func (c *Engine) setHoldTimer(call *callState) {
+	expiry := call.holdUntil
+	if call.notBefore > c.now {
+		expiry = call.notBefore
 	}
-	c.do(SetTimer{ID: k.Call, After: (at - c.now).Truncate(time.Millisecond) + time.Millisecond})
+	c.emit(SetTimer{ID: call.Call, After: (expiry - c.now).Truncate(time.Millisecond) + time.Millisecond})
 }
 
-// before orders held calls: cut calls first, then high worth, then the newest. With the oldest first a
-// standing queue would set every call up just after its aim.
-func before(a, b *call) int {
+// compareHeld orders held calls: calls that were cut before go first, then those of higher worth, then the
+// newest. With the oldest first, a lasting queue would delay every call until just after its aim.
+func compareHeld(a, b *callState) int {
 	if a.CutBefore != b.CutBefore {
 		if a.CutBefore {
 			return -1
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(b.arrived, a.arrived),
+	return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(b.arrivedAt, a.arrivedAt),
 		cmp.Compare(b.Call, a.Call))
 }
 
-// serve tries the held calls again when something has come free: at x alone, unless it is nil. With many
-// exchanges a scan of all tandems for each held call would cost too much, and so would one of all held calls:
-// a line whose destination has no slot is left at once.
-func (c *Engine) serve(x *exchange) {
-	if c.own.held >= slots(c.own)+slotsForPrior {
+// retryHeld tries held calls again after a slot or a circuit has become free. If exchange is set, no other
+// exchange is tried as tandem: in a large mesh a scan of all tandems for each held call would cost too much.
+// For the same reason a queue whose destination has no free slot is skipped as a whole.
+func (c *Engine) retryHeld(exchange *exchangeState) {
+	if c.own.slotsHeld >= windowSlots(c.own)+prioritySlots {
 		return
 	}
-	c.wanted = slices.DeleteFunc(c.wanted, func(d *exchange) bool { return len(d.waiting) == 0 })
-	c.lines, c.line = c.lines[:0], c.line[:0]
-	for _, d := range c.wanted {
-		if c.room(d.waiting) != nil {
-			from := len(c.line)
-			c.line = append(c.line, d.waiting...)
-			c.lines = append(c.lines, c.line[from:])
+	c.queuedDestinations = slices.DeleteFunc(c.queuedDestinations,
+		func(dest *exchangeState) bool { return len(dest.queue) == 0 })
+	c.scanQueues, c.scanCalls = c.scanQueues[:0], c.scanCalls[:0]
+	for _, dest := range c.queuedDestinations {
+		if c.admissible(dest.queue) != nil {
+			start := len(c.scanCalls)
+			c.scanCalls = append(c.scanCalls, dest.queue...)
+			c.scanQueues = append(c.scanQueues, c.scanCalls[start:])
 		}
 	}
 	for {
 		best := -1
-		for i, l := range c.lines {
-			l = c.room(l)
-			if c.lines[i] = l; len(l) > 0 && (best < 0 || before(l[0], c.lines[best][0]) < 0) {
+		for i, rest := range c.scanQueues {
+			rest = c.admissible(rest)
+			if c.scanQueues[i] = rest; len(rest) > 0 &&
+				(best < 0 || compareHeld(rest[0], c.scanQueues[best][0]) < 0) {
 				best = i
 			}
 		}
 		if best < 0 {
 			return
 		}
-		k := c.lines[best][0]
-		c.lines[best] = c.lines[best][1:]
-		if to, _ := c.route(k, x); to != nil {
-			c.place(k)
+		call := c.scanQueues[best][0]
+		c.scanQueues[best] = c.scanQueues[best][1:]
+		if target, _ := c.route(call, exchange); target != nil {
+			c.placeCall(call)
 		}
 	}
 }
 
-// room is the part of a line from the first call on that may go now and for which there are slots.
-func (c *Engine) room(line []*call) []*call {
-	for i, k := range line {
-		if k.phase != held || c.now < k.earliest {
+// admissible returns the part of a queue that starts with the first call that may be sent now and finds free
+// slots; nil if there is none.
+func (c *Engine) admissible(queue []*callState) []*callState {
+	for i, call := range queue {
+		if call.phase != phaseHeld || c.now < call.notBefore {
 			continue
 		}
-		if c.admits(c.exchanges[k.Destination], k) && c.admits(c.own, k) {
-			return line[i:]
+		if c.admits(c.exchanges[call.Destination], call) && c.admits(c.own, call) {
+			return queue[i:]
 		}
-		if !k.CutBefore && k.worth <= c.least { // nor is there for one behind it
+		if !call.CutBefore && call.worth <= c.lowestWorth { // the calls behind it have no more priority
 			return nil
 		}
 	}
 	return nil
 }
 
-// slots are the set-ups that the window of x lets out at once.
-func slots(x *exchange) int { return max(minSlots, int(x.window)) }
+// windowSlots returns the whole number of slots in the window of an exchange.
+func windowSlots(exchange *exchangeState) int { return max(minSlots, int(exchange.window)) }
 
-// admits tells whether a first set-up may take a slot at x.
-func (c *Engine) admits(x *exchange, k *call) bool {
-	if x.silent { // no load, but no sign of life either: single trials
-		return len(x.out) == 0 && c.now >= x.trialAt
+// admits reports whether an attempt of a call may take a slot at an exchange.
+func (c *Engine) admits(exchange *exchangeState, call *callState) bool {
+	if exchange.unresponsive { // only probe calls, one at a time
+		return len(exchange.outstanding) == 0 && c.now >= exchange.nextProbeCall
 	}
-	limit := slots(x)
-	if c.prior(k) {
-		limit += slotsForPrior
+	limit := windowSlots(exchange)
+	if c.hasPriority(call) {
+		limit += prioritySlots
 	}
-	return x.held < limit && c.now >= x.fullUntil && c.coldRoom(x)
+	return exchange.slotsHeld < limit && c.now >= exchange.fullUntil && c.withinColdBudget(exchange)
 }
 
-// prior tells whether a call goes before others when room is short: it was cut and comes again, or its
-// worth is above that of other classes.
-func (c *Engine) prior(k *call) bool {
-	return !k.low && (k.CutBefore || k.worth > c.least)
+// hasPriority reports whether a call may use prioritySlots: it is offered again after a cut, or its worth is
+// above the lowest of all classes, and it is not of low priority.
+func (c *Engine) hasPriority(call *callState) bool {
+	return !call.lowPriority && (call.CutBefore || call.worth > c.lowestWorth)
 }
 
-// route chooses where a call goes next, or nil; wait tells whether it may be held for a slot or circuit. If
-// only is set, no other tandem is tried.
-func (c *Engine) route(k *call, only *exchange) (x *exchange, wait bool) {
-	dest := c.exchanges[k.Destination]
-	if dest == nil || dest.health != Ready || slices.Contains(k.Excluded, dest.code) {
+// route chooses the exchange for the next attempt of a call; nil: none. mayHold reports whether the call may
+// be held for a slot or a circuit. If onlyTandem is set, no other tandem is considered.
+func (c *Engine) route(call *callState, onlyTandem *exchangeState) (target *exchangeState, mayHold bool) {
+	dest := c.exchanges[call.Destination]
+	if dest == nil || dest.health != Ready || slices.Contains(call.Excluded, dest.pointCode) {
 		return nil, false
 	}
-	if k.attempts >= c.cfg.MaxAttempts || k.mayRun && !c.cfg.Classes[k.Class].Repeatable {
+	if call.attempts >= c.cfg.MaxAttempts || call.maybeExecuted && !c.cfg.Classes[call.Class].Repeatable {
 		return nil, false
 	}
-	if k.Transit {
-		if !dest.silent && c.now >= dest.fullUntil && c.coldRoom(dest) &&
-			(dest.size < 0 || dest.free >= k.Circuits+kept(dest)) {
+	if call.Transit {
+		if !dest.unresponsive && c.now >= dest.fullUntil && c.withinColdBudget(dest) &&
+			(dest.groupSize < 0 || dest.freeCircuits >= call.Circuits+circuitReserve(dest)) {
 			return dest, false
 		}
 		return nil, false
 	}
-	if n := c.numbers[k.Number]; n != nil && n.busyAt > 0 &&
-		(n.out > 0 || c.now < n.busyAt+pause) {
+	if n := c.numbers[call.Number]; n != nil && n.busyAt > 0 &&
+		(n.outstanding > 0 || c.now < n.busyAt+minBackOff) {
 		return nil, false
 	}
-	if !c.admits(dest, k) || !c.admits(c.own, k) {
-		return nil, !dest.silent
+	if !c.admits(dest, call) || !c.admits(c.own, call) {
+		return nil, !dest.unresponsive
 	}
-	room := dest.free
-	if k.low {
-		room -= kept(dest)
+	available := dest.freeCircuits
+	if call.lowPriority {
+		available -= circuitReserve(dest)
 	}
-	if dest.size < 0 || room >= k.Circuits {
+	if dest.groupSize < 0 || available >= call.Circuits {
 		return dest, true
 	}
-	if len(k.tried) >= maxTandems || k.late {
+	if len(call.triedTandems) >= maxTandems || call.late {
 		return nil, true
 	}
-	var choice *exchange
-	var least uint64
-	tandems := c.order
-	if only != nil {
-		tandems = []*exchange{only}
-	}
-	for _, t := range tandems {
-		turned := t.turned[dest.code]
-		if t == dest || t.health != Ready || t.size < 0 || c.cold(t) || !c.quick(t) || !c.admits(t, k) ||
-			slices.Contains(k.tried, t.code) || slices.Contains(k.Excluded, t.code) ||
-			t.free < k.Circuits+kept(t) ||
-			turned.n > 0 && c.now < turned.last+turnedBackKept {
+	var best *exchangeState
+	var bestRank uint64
+	tandems := c.byPointCode
+	if onlyTandem != nil {
+		tandems = []*exchangeState{onlyTandem}
+	}
+	for _, tandem := range tandems {
+		crankbacks := tandem.crankbacks[dest.pointCode]
+		if tandem == dest || tandem.health != Ready || tandem.groupSize < 0 ||
+			c.isCold(tandem) || !c.lightlyLoaded(tandem) || !c.admits(tandem, call) ||
+			slices.Contains(call.triedTandems, tandem.pointCode) ||
+			slices.Contains(call.Excluded, tandem.pointCode) ||
+			tandem.freeCircuits < call.Circuits+circuitReserve(tandem) ||
+			crankbacks.n > 0 && c.now < crankbacks.lastAt+crankbackBackOff {
 			continue
 		}
-		h := rand.NewPCG(c.cfg.Seed^k.Call, uint64(t.code)).Uint64()>>8 + uint64(min(turned.n+2, 255))<<56
-		switch { // the one that last carried a call there goes first, then the advised one
-		case t.code == dest.via && turned.n <= 0:
-			h = 0
-		case t.code == k.AdvisedTandem:
-			h = 1
+		// The lowest rank is chosen: the tandem of the last call to the destination, then the advised one,
+		// then those with the fewest crankbacks, in an order that differs from call to call.
+		rank := rand.NewPCG(c.cfg.Seed^call.Call, uint64(tandem.pointCode)).Uint64()>>8 +
+			uint64(min(crankbacks.n+2, 255))<<56
+		switch {
+		case tandem.pointCode == dest.lastTandem && crankbacks.n <= 0:
+			rank = 0
+		case tandem.pointCode == call.AdvisedTandem:
+			rank = 1
 		}
-		if choice == nil || h < least {
-			choice, least = t, h
+		if best == nil || rank < bestRank {
+			best, bestRank = tandem, rank
 		}
 	}
-	return choice, true
+	return best, true
 }
 
-// kept are the circuits of the group to x that transit, tandem and low calls leave free: trunk reservation.
-// In a thin group two circuits are a large part, and calls without a direct group would find no way.
-func kept(x *exchange) float64 { return min(keptForDirect, math.Ceil(keptPart*x.size)) }
+// circuitReserve returns the circuits of the group to an exchange that calls in transit, over a tandem or of
+// low priority leave free (trunk reservation). In a small group two circuits would be a large part, and calls
+// that need a tandem would find no route: there the reserve is smaller.
+func circuitReserve(exchange *exchangeState) float64 {
+	return min(reservedCircuits, math.Ceil(reservedShare*exchange.groupSize))
+}
 
-// send starts an attempt. It is the one place that does, and here the rules hold whatever asked for it:
-// the call is live, within its time and has no attempt out, the exchange neither drains nor is gone, the
-// cold budget has room, and the release has been awaited.
-func (c *Engine) send(k *call, x *exchange) bool {
-	if k.phase != held || c.now >= k.Due || c.now < k.earliest || k.attempts >= c.cfg.MaxAttempts ||
-		x.health != Ready || !c.coldRoom(x) || k.Transit && x.code != k.Destination || x == c.own {
+// sendSetUp starts an attempt and reports whether it did. No other place does, so these rules hold for every
+// attempt: the call is held and not yet due, its guard has passed, it has attempts left, the exchange is
+// ready and not the own one, the cold budget has room, and a call in transit goes to its destination only.
+func (c *Engine) sendSetUp(call *callState, exchange *exchangeState) bool {
+	if call.phase != phaseHeld || c.now >= call.Due || c.now < call.notBefore ||
+		call.attempts >= c.cfg.MaxAttempts ||
+		exchange.health != Ready || !c.withinColdBudget(exchange) ||
+		call.Transit && exchange.pointCode != call.Destination || exchange == c.own {
 		return false
 	}
-	timeOut := k.Due - c.now
-	if !k.Transit {
-		left := k.aimEnd - c.now
-		// An exchange that answers quickly but loses some set-ups is tried a second time within the aim.
-		first := max(minTimeOut, tails*c.answerTime)
-		if k.attempts == 0 && x.code == k.Destination && x.lost >= lossy && c.quick(x) &&
-			first+c.cfg.Guard+2*c.answerTime < left {
-			left = first
+	timeOut := call.Due - c.now
+	if !call.Transit {
+		remaining := call.aimEnd - c.now
+		// Where an exchange answers quickly but loses set-ups, the first attempt times out early enough for a
+		// second one within the aim.
+		firstTimeOut := max(minAttemptTimeOut, answerTimeMultiple*c.usualAnswerTime)
+		if call.attempts == 0 && exchange.pointCode == call.Destination &&
+			exchange.losses >= lossThreshold && c.lightlyLoaded(exchange) &&
+			firstTimeOut+c.cfg.Guard+2*c.usualAnswerTime < remaining {
+			remaining = firstTimeOut
 		}
-		timeOut = min(timeOut, max(minTimeOut, left))
-		c.slot(x, 1)
-		c.slot(c.own, 1)
-		k.slotted = true
-	}
-	k.phase, k.to, k.sentAt, k.missed, k.rings, k.attempts = setting, x, c.now, false, false, k.attempts+1
-	if x.code != k.Destination {
-		k.tried = append(k.tried, x.code)
-	}
-	if x.silent {
-		x.trialAt = c.now + c.trialEvery
-	}
-	if n := c.numbers[k.Number]; n != nil {
-		n.out++
-	}
-	x.out = append(x.out, k)
-	x.permit, x.sends = max(x.permit, c.now)+x.every, append(x.sends, c.now)
-	x.sentStep, x.free = x.sentStep+1, x.free-k.Circuits
-	c.do(SetUp{Call: k.Call, Exchange: x.addr, TimeOut: timeOut})
+		timeOut = min(timeOut, max(minAttemptTimeOut, remaining))
+		c.adjustSlots(exchange, 1)
+		c.adjustSlots(c.own, 1)
+		call.holdsSlot = true
+	}
+	call.phase, call.target, call.sentAt, call.countedUnanswered, call.alerted, call.attempts =
+		phaseSettingUp, exchange, c.now, false, false, call.attempts+1
+	if exchange.pointCode != call.Destination {
+		call.triedTandems = append(call.triedTandems, exchange.pointCode)
+	}
+	if exchange.unresponsive {
+		exchange.nextProbeCall = c.now + c.probeCallInterval
+	}
+	if number := c.numbers[call.Number]; number != nil {
+		number.outstanding++
+	}
+	exchange.outstanding = append(exchange.outstanding, call)
+	exchange.nextColdSend, exchange.recentSends =
+		max(exchange.nextColdSend, c.now)+exchange.coldSendInterval, append(exchange.recentSends, c.now)
+	exchange.sentInStep, exchange.freeCircuits = exchange.sentInStep+1, exchange.freeCircuits-call.Circuits
+	c.emit(SetUp{Call: call.Call, Exchange: exchange.address, TimeOut: timeOut})
 	return true
 }
 
-// slot takes (1) or frees (-1) a slot at x and keeps the account of slots held over time.
-func (c *Engine) slot(x *exchange, n int) {
-	x.heldSum += time.Duration(x.held) * (c.now - x.heldAt)
-	x.heldAt, x.held = c.now, x.held+n
-	x.peak = max(x.peak, x.held)
+// adjustSlots takes (1) or releases (-1) a slot at an exchange and keeps account of the slots held over time.
+// A change of 0 brings the account up to date.
+func (c *Engine) adjustSlots(exchange *exchangeState, change int) {
+	exchange.slotTime += time.Duration(exchange.slotsHeld) * (c.now - exchange.slotTimeUntil)
+	exchange.slotTimeUntil, exchange.slotsHeld = c.now, exchange.slotsHeld+change
+	exchange.peakSlotsHeld = max(exchange.peakSlotsHeld, exchange.slotsHeld)
 }
 
-// answered takes the attempt that is out from the books.
-func (c *Engine) answered(k *call) {
-	if k.to == nil {
+// closeAttempt removes the outstanding attempt of a call, if there is one.
+func (c *Engine) closeAttempt(call *callState) {
+	if call.target == nil {
 		return
 	}
-	if !k.rings {
-		k.to.out = slices.DeleteFunc(k.to.out, func(o *call) bool { return o == k })
+	if !call.alerted {
+		call.target.outstanding = slices.DeleteFunc(call.target.outstanding,
+			func(other *callState) bool { return other == call })
 	}
-	c.free(k)
-	if n := c.numbers[k.Number]; n != nil && n.out > 0 {
-		n.out--
+	c.releaseSlots(call)
+	if number := c.numbers[call.Number]; number != nil && number.outstanding > 0 {
+		number.outstanding--
 	}
-	k.to = nil
+	call.target = nil
 }
 
-// free gives back the slots of an attempt.
-func (c *Engine) free(k *call) {
-	if k.slotted {
-		c.slot(k.to, -1)
-		c.slot(c.own, -1)
-		k.slotted = false
+// releaseSlots releases the slots that the outstanding attempt of a call still holds.
+func (c *Engine) releaseSlots(call *callState) {
+	if call.holdsSlot {
+		c.adjustSlots(call.target, -1)
+		c.adjustSlots(c.own, -1)
+		call.holdsSlot = false
 	}
 }
 
-// end closes a call, with its final answer if that is owed still. No other place does. A call fails if an
-// attempt may have been carried out, else it is refused.
-func (c *Engine) end(k *call, owed bool) {
-	if owed && k.phase != over && k.phase != standing {
-		if k.mayRun {
-			c.do(Fail{Call: k.Call})
+// endCall ends a call, with its final answer if one is still owed. No other place sends one. The call fails
+// if an attempt may have been carried out, otherwise it is refused.
+func (c *Engine) endCall(call *callState, answerOwed bool) {
+	if answerOwed && call.phase != phaseOver && call.phase != phaseEstablished {
+		if call.maybeExecuted {
+			c.emit(Fail{Call: call.Call})
 		} else {
-			// Till the processor has rested the caller is to stay away; of other states no end is known.
+			// While the destination is full the caller is asked to stay away until its back-off ends. For
+			// other causes no end is known.
 			var wait time.Duration
-			if x := c.exchanges[k.Destination]; x != nil {
-				wait = max(0, x.fullUntil-c.now)
+			if exchange := c.exchanges[call.Destination]; exchange != nil {
+				wait = max(0, exchange.fullUntil-c.now)
 			}
-			c.do(Refuse{Call: k.Call, Wait: wait})
+			c.emit(Refuse{Call: call.Call, Wait: wait})
 		}
-		if !k.Transit {
-			n := c.number(k.Number)
-			n.refusedAt, n.aimEnd = c.now, k.aimEnd
+		if !call.Transit {
+			number := c.dialledNumber(call.Number)
+			number.refusedAt, number.aimEnd = c.now, call.aimEnd
 		}
 	}
-	c.unwait(k)
-	k.phase = over
-	if k.to == nil { // an attempt that is out still returns
-		delete(c.calls, k.Call)
+	c.dequeue(call)
+	call.phase = phaseOver
+	if call.target == nil { // the end of an outstanding attempt is still to come
+		delete(c.calls, call.Call)
 	}
 }
 
-// quick tells whether x answers and its load reads more Low than Medium.
-func (c *Engine) quick(x *exchange) bool { return !x.silent && x.seen <= (setLow+setMid)/2 }
+// lightlyLoaded reports whether an exchange responds and its load reads more Low than Medium.
+func (c *Engine) lightlyLoaded(exchange *exchangeState) bool {
+	return !exchange.unresponsive && exchange.stepLoad <= (lowFull+mediumPeak)/2
+}
 
-// alive notes a sign of life of x.
-func (c *Engine) alive(x *exchange) {
-	if x.silent { // what kept it silent may be over for others: a region comes back at once
-		for _, y := range c.order {
-			y.trialAt = c.now
+// noteResponse records that an exchange has responded.
+func (c *Engine) noteResponse(exchange *exchangeState) {
+	if exchange.unresponsive { // others may have recovered too, as a whole region does: probe them all now
+		for _, other := range c.byPointCode {
+			other.nextProbeCall = c.now
 		}
 	}
-	x.lastAnswer, x.unanswered, x.silent = c.now, 0, false
+	exchange.lastAnswerAt, exchange.unanswered, exchange.unresponsive = c.now, 0, false
 }
 
-// alerting ends the processor's part of an attempt. It is out still, but ringing is the subscriber's affair:
-// no slot is held for it. An exchange may say so at once and do the work later; the wait that it is reported
-// to have then tells how long the slot is held.
-func (c *Engine) alerting(ev Alerting) {
-	k := c.calls[ev.Call]
-	if k == nil || k.to == nil || k.rings {
+// handleAlerting records that the processor's part of an attempt is over. The attempt stays outstanding, but
+// ringing depends on the subscriber, so it holds no slot. An exchange may report alerting at once and do the
+// work later: if it has reported a queueing delay, the slot is held for that time.
+func (c *Engine) handleAlerting(ev Alerting) {
+	call := c.calls[ev.Call]
+	if call == nil || call.target == nil || call.alerted {
 		return
 	}
-	x := k.to
-	c.carried(k, ev.Exchange, ev.Delay)
-	x.out = slices.DeleteFunc(x.out, func(o *call) bool { return o == k })
-	k.rings = true
-	rest := max(k.sentAt+x.wait-c.now, x.wait-x.distance) // the answer waits there too
-	if rest > c.slow/20 && k.slotted && c.now-x.loadAt <= reportKept {
-		c.do(SetTimer{ID: k.Call, After: rest})
+	exchange := call.target
+	c.noteCarried(call, ev.Exchange, ev.Delay)
+	exchange.outstanding = slices.DeleteFunc(exchange.outstanding,
+		func(other *callState) bool { return other == call })
+	call.alerted = true
+	// The answer passes the same queue as the set-up.
+	remaining := max(call.sentAt+exchange.wait-c.now, exchange.wait-exchange.baseDelay)
+	if remaining > c.fullLoadDelay/20 && call.holdsSlot && c.now-exchange.loadReportedAt <= reportMaxAge {
+		c.emit(SetTimer{ID: call.Call, After: remaining})
 		return
 	}
-	c.free(k)
-	c.serve(nil)
+	c.releaseSlots(call)
+	c.retryHeld(nil)
 }
 
-// beyond is how much of d is beyond the least that answers of x take: that is its distance, and no load.
-func (c *Engine) beyond(x *exchange, d time.Duration) time.Duration {
-	if x.distance == 0 || d < x.distance {
-		x.distance = max(0, min(d, c.slow/2))
+// excessDelay returns the part of an answer delay that is beyond the base delay of the exchange. A shorter
+// delay becomes the new base delay.
+func (c *Engine) excessDelay(exchange *exchangeState, delay time.Duration) time.Duration {
+	if exchange.baseDelay == 0 || delay < exchange.baseDelay {
+		exchange.baseDelay = max(0, min(delay, c.fullLoadDelay/2))
 	}
-	return d - x.distance
+	return delay - exchange.baseDelay
 }
 
-// carried notes what the end of the processor's part after d tells of the exchange that an attempt went to.
-func (c *Engine) carried(k *call, at string, took time.Duration) {
-	x, d := k.to, took
-	same := x.addr == at
-	if same {
-		c.alive(x)
-		x.fulls, x.taken, c.own.taken = 0, x.taken+1, c.own.taken+1
-	}
-	if same && x.code == k.Destination && k.sentAt >= c.resumed {
-		if d -= c.ownWait; c.told() { // else what answers have in common is taken for the own wait
-			d = c.beyond(x, d)
+// noteCarried records what the end of the processor's part of an attempt, reported by the sender after the
+// given delay, shows about the exchange that it went to.
+func (c *Engine) noteCarried(call *callState, sender string, delay time.Duration) {
+	exchange, excess := call.target, delay
+	sameMachine := exchange.address == sender
+	if sameMachine {
+		c.noteResponse(exchange)
+		exchange.fullRejections, exchange.answeredInStep, c.own.answeredInStep =
+			0, exchange.answeredInStep+1, c.own.answeredInStep+1
+	}
+	if sameMachine && exchange.pointCode == call.Destination && call.sentAt >= c.resumedAt {
+		if excess -= c.ownWait; c.ownWaitReported() { // otherwise ownWait has the common base delay in it
+			excess = c.excessDelay(exchange, excess)
 		}
-		c.evidence(x, d)
-		c.heard, c.leastTime = c.heard+1, min(c.leastTime, took)
-		c.answerTime += (took - c.answerTime) / 8
-	} else if y := c.exchanges[k.Destination]; y != nil && y != x {
-		y.via = x.code
-		x.turned[y.code] = turnBacks{n: -1}
+		c.addLoadSample(exchange, excess)
+		c.directAnswers, c.minAnswerTime = c.directAnswers+1, min(c.minAnswerTime, delay)
+		c.usualAnswerTime += (delay - c.usualAnswerTime) / 8
+	} else if dest := c.exchanges[call.Destination]; dest != nil && dest != exchange {
+		dest.lastTandem = exchange.pointCode
+		exchange.crankbacks[dest.pointCode] = crankbackRecord{n: -1}
 	}
 }
 
-func (c *Engine) established(ev Established) {
-	k := c.calls[ev.Call]
-	if k == nil || k.to == nil {
+// handleEstablished records that a call is answered.
+func (c *Engine) handleEstablished(ev Established) {
+	call := c.calls[ev.Call]
+	if call == nil || call.target == nil {
 		return
 	}
-	if !k.rings {
-		c.carried(k, ev.Exchange, ev.Delay)
+	if !call.alerted {
+		c.noteCarried(call, ev.Exchange, ev.Delay)
 	}
-	if y := c.exchanges[k.Destination]; y != nil && y != k.to { // a tandem may say early that it rings
-		c.alive(y)
+	// An answer over a tandem is a response of the destination. Alerting is none: a tandem may send it early.
+	if dest := c.exchanges[call.Destination]; dest != nil && dest != call.target {
+		c.noteResponse(dest)
 	}
-	c.answered(k)
-	if k.phase == setting {
-		k.phase = standing
+	c.closeAttempt(call)
+	if call.phase == phaseSettingUp {
+		call.phase = phaseEstablished
 	}
-	c.serve(nil)
+	c.retryHeld(nil)
 }
 
-func (c *Engine) returned(ev AttemptEnded) {
-	x := c.byAddr[ev.Exchange]
-	if x != nil && ev.Report != nil {
-		c.report(x, ev.Report)
+// handleAttemptEnded records how an attempt or an established call ended. A call without a final answer is
+// tried again, held or ended.
+func (c *Engine) handleAttemptEnded(ev AttemptEnded) {
+	exchange := c.byAddress[ev.Exchange]
+	if exchange != nil && ev.Report != nil {
+		c.applyReport(exchange, ev.Report)
 	}
-	k := c.calls[ev.Call]
-	if k == nil {
+	call := c.calls[ev.Call]
+	if call == nil {
 		return
 	}
-	direct := x != nil && x.code == k.Destination
-	setUp := k.to != nil // it had not stood
-	if setUp && ev.Reason == ProcessorFull && ev.Cause != NotSent {
-		c.full(k.to, ev.Wait)
+	direct := exchange != nil && exchange.pointCode == call.Destination
+	pending := call.target != nil // otherwise the call was established
+	if pending && ev.Reason == ProcessorFull && ev.Cause != NotSent {
+		c.noteFull(call.target, ev.Wait)
 	}
-	c.answered(k)
-	if setUp && x != nil && x.addr == ev.Exchange { // a replaced machine tells nothing of its successor
-		c.learn(k, x, direct, ev)
+	c.closeAttempt(call)
+	if pending && exchange != nil && exchange.address == ev.Exchange { // not a machine that was replaced
+		c.noteOutcome(call, exchange, direct, ev)
 	}
-	if ev.Final || k.phase != setting {
-		k.phase = max(k.phase, standing)
-		c.end(k, false)
-		c.serve(nil)
+	if ev.Final || call.phase != phaseSettingUp {
+		call.phase = max(call.phase, phaseEstablished)
+		c.endCall(call, false)
+		c.retryHeld(nil)
 		return
 	}
-	k.phase = held
-	again := true
+	call.phase = phaseHeld
+	retry := true
 	switch ev.Cause {
-	case TimedOut, Reset, Cancelled: // what the attempt held may stay taken: the release is awaited
-		k.mayRun = true
-		k.earliest = c.now + c.cfg.Guard
-		again = ev.Cause != TimedOut || !k.rings && (!direct || c.quick(x) && x.lost >= lossy)
+	case TimedOut, Reset, Cancelled: // circuits of the attempt may still be seized until the guard has passed
+		call.maybeExecuted = true
+		call.notBefore = c.now + c.cfg.Guard
+		retry = ev.Cause != TimedOut ||
+			!call.alerted && (!direct || c.lightlyLoaded(exchange) && exchange.losses >= lossThreshold)
 	case Failed:
-		k.mayRun = true
-		again = ev.Reason != NumberBusy && ev.Reason != NoAnswer
+		call.maybeExecuted = true
+		retry = ev.Reason != NumberBusy && ev.Reason != NoAnswer
 	case NoContact:
-		again = !direct
+		retry = !direct
 	case NotSent:
-		again = ev.Reason == NoCircuit
+		retry = ev.Reason == NoCircuit
 	case NotSetUp:
-		// A full destination is not asked again, neither direct nor over a tandem.
-		again = ev.Reason != CrankbackFull && !(ev.Reason == ProcessorFull && direct && c.now < x.fullUntil)
+		// A full destination is not tried again, neither directly nor over a tandem.
+		retry = ev.Reason != CrankbackFull &&
+			!(ev.Reason == ProcessorFull && direct && c.now < exchange.fullUntil)
 	}
-	if again && !k.Transit && c.now < k.Due-answerSpare {
-		c.place(k)
+	if retry && !call.Transit && c.now < call.Due-answerMargin {
+		c.placeCall(call)
 	} else {
-		c.end(k, true)
+		c.endCall(call, true)
 	}
-	c.serve(nil)
+	c.retryHeld(nil)
 }
 
-// learn draws from an attempt that has ended what it tells of the exchange and the number.
-func (c *Engine) learn(k *call, x *exchange, direct bool, ev AttemptEnded) {
+// noteOutcome records what an ended attempt shows about the exchange, the destination and the number.
+func (c *Engine) noteOutcome(call *callState, exchange *exchangeState, direct bool, ev AttemptEnded) {
 	switch ev.Cause {
 	case Completed, Failed, NotSetUp:
-		c.alive(x)
+		c.noteResponse(exchange)
 	case TimedOut, NoContact:
-		// An attempt that its caller has given less than an answer may take tells nothing.
-		short := ev.Cause == TimedOut && (k.rings || c.now-k.sentAt < tails*c.answerTime)
-		if direct && !k.missed && !short {
-			c.unanswered(x, k.sentAt)
-		} else if !direct && !short {
-			// Whether it or the destination is at fault, not that way again.
-			c.turnBack(x, k.Destination)
+		// A time-out shorter than an answer may take shows nothing, nor does one while the number rings.
+		inconclusive := ev.Cause == TimedOut &&
+			(call.alerted || c.now-call.sentAt < answerTimeMultiple*c.usualAnswerTime)
+		if direct && !call.countedUnanswered && !inconclusive {
+			c.unanswered(exchange, call.sentAt)
+		} else if !direct && !inconclusive {
+			// The tandem or the destination is at fault: this tandem is not used for it for a while.
+			c.noteCrankback(exchange, call.Destination)
 		}
 	}
 	if ev.Cause == NotSent && ev.Reason == NoCircuit {
-		x.free = min(x.free, k.Circuits-1)
+		exchange.freeCircuits = min(exchange.freeCircuits, call.Circuits-1)
 	}
 	switch ev.Reason {
 	case ProcessorFull:
 		if ev.Cause != NotSent {
-			c.evidence(x, c.aim)
+			c.addLoadSample(exchange, c.shortestAim)
 		}
 	case CrankbackFull:
-		c.evidence(c.exchanges[k.Destination], c.aim)
+		c.addLoadSample(c.exchanges[call.Destination], c.shortestAim)
 		fallthrough
 	case Crankback:
-		c.turnBack(x, k.Destination)
+		c.noteCrankback(exchange, call.Destination)
 	case NumberBusy:
-		c.number(k.Number).busyAt = c.now
+		c.dialledNumber(call.Number).busyAt = c.now
 	}
 }
 
-// full notes that a set-up came back for want of the processor of x. An exchange that answers quickly and
-// turns one away now and then is not full: a rest would cost the calls of a second for one.
-func (c *Engine) full(x *exchange, wait time.Duration) {
-	if x.fulls++; wait > 0 || x.fulls >= fullInRow || !c.quick(x) {
-		x.fullUntil = c.now + max(pause, wait)
+// noteFull records that the processor of an exchange rejected a set-up because it was full. A lightly loaded
+// exchange that rejects one now and then is not full: a back-off would cost all calls to it for a second.
+func (c *Engine) noteFull(exchange *exchangeState, wait time.Duration) {
+	if exchange.fullRejections++; wait > 0 ||
+		exchange.fullRejections >= fullAfterRejections || !c.lightlyLoaded(exchange) {
+		exchange.fullUntil = c.now + max(minBackOff, wait)
 	}
 }
 
-// turnBack notes that x as tandem did not carry a call to the destination.
-func (c *Engine) turnBack(x *exchange, destination int) {
-	x.turned[destination] = turnBacks{max(0, x.turned[destination].n) + 1, c.now}
+// noteCrankback records that an exchange, as tandem, did not carry a call to a destination.
+func (c *Engine) noteCrankback(exchange *exchangeState, destination int) {
+	exchange.crankbacks[destination] = crankbackRecord{max(0, exchange.crankbacks[destination].n) + 1, c.now}
 }
 
-// number is the evidence on one number.
-func (c *Engine) number(key string) *number {
-	n := c.numbers[key]
-	if n == nil {
-		n = &number{}
-		if key != "" { // calls without a number have nothing in common
-			c.numbers[key] = n
+// dialledNumber returns the state of a dialled number and creates it if needed.
+func (c *Engine) dialledNumber(key string) *dialledNumber {
+	number := c.numbers[key]
+	if number == nil {
+		number = &dialledNumber{}
+		if key != "" { // calls without a number share no state
+			c.numbers[key] = number
 		}
 	}
-	return n
+	return number
 }
 
-// unanswered notes a set-up to x, sent at the given time, that has had no answer.
-func (c *Engine) unanswered(x *exchange, sent time.Duration) {
-	if x.lastAnswer >= sent {
-		if c.quick(x) { // others were answered, and quickly: it was lost
-			x.lost++
+// unanswered records that a set-up, sent to an exchange at the given time, has had no answer.
+func (c *Engine) unanswered(exchange *exchangeState, sentAt time.Duration) {
+	if exchange.lastAnswerAt >= sentAt {
+		if c.lightlyLoaded(exchange) { // others were answered, and quickly: this one was lost
+			exchange.losses++
 		}
-		if x.lost < lossy { // a loss that lasts is no load
-			c.evidence(x, c.aim)
+		if exchange.losses < lossThreshold { // lasting losses are no sign of load
+			c.addLoadSample(exchange, c.shortestAim)
 		}
 		return
 	}
-	if x.unanswered++; x.unanswered >= silentAfter && !x.silent {
-		x.silent, x.trialAt = true, c.now+c.trialEvery
+	if exchange.unanswered++; exchange.unanswered >= unresponsiveAfter && !exchange.unresponsive {
+		exchange.unresponsive, exchange.nextProbeCall = true, c.now+c.probeCallInterval
 	}
 }
 
-// report takes what is told of x.
-func (c *Engine) report(x *exchange, r *Report) {
-	if r.Free >= 0 && r.Size >= 0 {
-		x.free, x.size = r.Free, r.Size
-	}
-	load := r.Utilisation
-	if r.Wait >= 0 {
-		// What was under way while the controller stood still tells of that alone.
-		if wait := time.Duration(r.Wait * float64(time.Second)); wait <= c.now-c.resumed || c.resumed == 0 {
-			x.wait = wait
-			load = max(load, min(1, max(0, wait-x.distance).Seconds()/c.slow.Seconds()))
+// applyReport takes over a status report of an exchange.
+func (c *Engine) applyReport(exchange *exchangeState, report *Report) {
+	if report.Free >= 0 && report.Size >= 0 {
+		exchange.freeCircuits, exchange.groupSize = report.Free, report.Size
+	}
+	load := report.Utilisation
+	if report.Wait >= 0 {
+		// A wait longer than the time since the last stall of the controller includes that stall.
+		if wait := time.Duration(report.Wait * float64(time.Second)); wait <= c.now-c.resumedAt ||
+			c.resumedAt == 0 {
+			exchange.wait = wait
+			load = max(load, min(1, max(0, wait-exchange.baseDelay).Seconds()/c.fullLoadDelay.Seconds()))
 		}
-	} else if r.Queue >= 0 && r.Rate > 0 {
-		load = max(load, min(1, r.Queue/r.Rate/c.slow.Seconds()))
+	} else if report.Queue >= 0 && report.Rate > 0 {
+		load = max(load, min(1, report.Queue/report.Rate/c.fullLoadDelay.Seconds()))
 	}
-	if load = max(load, r.Reduction); load >= 0 {
-		x.load, x.loadAt = load, c.now
+	if load = max(load, report.Reduction); load >= 0 {
+		exchange.load, exchange.loadReportedAt = load, c.now
 	}
 }
 
-// told tells whether the own lateness is told, and need not be guessed from answers.
-func (c *Engine) told() bool { return c.own.loadAt > 0 && c.now-c.own.loadAt <= reportKept }
+// ownWaitReported reports whether the queueing delay at the own processor is known from recent reports.
+// Otherwise it is estimated from answers.
+func (c *Engine) ownWaitReported() bool {
+	return c.own.loadReportedAt > 0 && c.now-c.own.loadReportedAt <= reportMaxAge
+}
 
-// step resizes every window, in the order of the point codes.
-func (c *Engine) step() {
-	told := c.told()
-	if told {
+// resizeWindows is one step: it updates the averages and resizes every window, in the order of point codes.
+func (c *Engine) resizeWindows() {
+	ownWaitReported := c.ownWaitReported()
+	if ownWaitReported {
 		c.ownWait = c.own.wait
-	} else if c.heard >= 2 { // what all answers have in common is the wait at the own processor
-		c.ownWait = c.leastTime
-	}
-	c.heard, c.leastTime = 0, math.MaxInt64
-	var usual, known float64
-	for _, x := range c.order {
-		for _, k := range x.out { // a set-up is missed once: when it is overdue here, or else at its time-out
-			age := (c.now - k.sentAt - c.ownWait).Seconds()
-			if x.code == k.Destination && !k.missed && age > overdueAt*c.aim.Seconds() {
-				k.missed = true
-				c.unanswered(x, k.sentAt)
+	} else if c.directAnswers >= 2 { // the delay that all answers have in common counts as own wait
+		c.ownWait = c.minAnswerTime
+	}
+	c.directAnswers, c.minAnswerTime = 0, math.MaxInt64
+	var usualRate, rateCount float64
+	for _, exchange := range c.byPointCode {
+		// A set-up is counted as unanswered once: here when it is overdue, otherwise at its time-out.
+		for _, call := range exchange.outstanding {
+			age := (c.now - call.sentAt - c.ownWait).Seconds()
+			if exchange.pointCode == call.Destination && !call.countedUnanswered &&
+				age > overdueShare*c.shortestAim.Seconds() {
+				call.countedUnanswered = true
+				c.unanswered(exchange, call.sentAt)
 			}
 		}
-		for len(x.sends) > 0 && x.sends[0] <= c.now-c.cfg.CrashSpan {
-			x.sends = x.sends[1:]
+		for len(exchange.recentSends) > 0 && exchange.recentSends[0] <= c.now-c.cfg.CrashSpan {
+			exchange.recentSends = exchange.recentSends[1:]
 		}
-		if x.health == Ready && !x.silent && !c.cold(x) {
-			x.steps++
-			x.usual += (float64(x.sentStep)/stepEvery.Seconds() - x.usual) * max(usualWeight, 1/x.steps)
+		if exchange.health == Ready && !exchange.unresponsive && !c.isCold(exchange) {
+			exchange.rateSteps++
+			exchange.usualRate += (float64(exchange.sentInStep)/stepInterval.Seconds() - exchange.usualRate) *
+				max(usualRateWeight, 1/exchange.rateSteps)
 		}
-		usual, known = usual+x.usual, known+min(1, x.steps)
-		x.sentStep, x.lost, x.distance = 0, x.lost*lostDecay, x.distance+x.distance/distanceGrows
-		c.resize(x)
-	}
-	c.usual = usual / max(1, known)
-	c.own.answers, c.own.pressure = 0, 0
-	if !told {
-		c.evidence(c.own, c.beyond(c.own, c.ownWait))
-		c.own.distance += c.own.distance / distanceGrows
-	} else { // of the slots only what waits here is held by the own processor; the rest waits at far ones
-		c.own.heldSum, c.own.heldAt = time.Duration(c.own.taken)*c.own.wait, c.now
-	}
-	c.resize(c.own)
-	if told && c.own.seen <= setLow { // what the far windows let out it can carry: it is not late
-		var all float64
-		for _, x := range c.order {
-			all += x.window
+		usualRate, rateCount = usualRate+exchange.usualRate, rateCount+min(1, exchange.rateSteps)
+		exchange.sentInStep, exchange.losses, exchange.baseDelay =
+			0, exchange.losses*lossDecay, exchange.baseDelay+exchange.baseDelay/baseDelayGrowthDivisor
+		c.resizeWindow(exchange)
+	}
+	c.usualRate = usualRate / max(1, rateCount)
+	c.own.loadSamples, c.own.loadSum = 0, 0
+	if !ownWaitReported {
+		c.addLoadSample(c.own, c.excessDelay(c.own, c.ownWait))
+		c.own.baseDelay += c.own.baseDelay / baseDelayGrowthDivisor
+	} else { // own slots count only while the set-up waits here, not while it waits at a far processor
+		c.own.slotTime, c.own.slotTimeUntil = time.Duration(c.own.answeredInStep)*c.own.wait, c.now
+	}
+	c.resizeWindow(c.own)
+	if ownWaitReported && c.own.stepLoad <= lowFull { // it can carry what the far windows admit
+		var windowSum float64
+		for _, exchange := range c.byPointCode {
+			windowSum += exchange.window
 		}
-		c.own.window = max(c.own.window, all)
+		c.own.window = max(c.own.window, windowSum)
 	}
-	for key, n := range c.numbers {
-		if n.out == 0 && c.now > max(n.busyAt, n.refusedAt)+numberKept {
+	for key, number := range c.numbers {
+		if number.outstanding == 0 && c.now > max(number.busyAt, number.refusedAt)+numberRetention {
 			delete(c.numbers, key)
 		}
 	}
-	c.serve(nil)
+	c.retryHeld(nil)
 }
 
-// resize is the step of one window: Wmax += dW * Wmax, dW from Table I.
-func (c *Engine) resize(x *exchange) {
-	c.slot(x, 0)
-	x.heldAvg[1], x.heldAvg[0] = x.heldAvg[0], x.heldSum.Seconds()/stepEvery.Seconds()
-	peak := x.peak
-	x.heldSum, x.peak = 0, x.held
-	defer func() { x.taken = 0 }()
+// resizeWindow is the step of one window: Wmax += dW * Wmax, with dW from Table I.
+func (c *Engine) resizeWindow(exchange *exchangeState) {
+	c.adjustSlots(exchange, 0)
+	exchange.meanSlotsHeld[1], exchange.meanSlotsHeld[0] =
+		exchange.meanSlotsHeld[0], exchange.slotTime.Seconds()/stepInterval.Seconds()
+	peakSlotsHeld := exchange.peakSlotsHeld
+	exchange.slotTime, exchange.peakSlotsHeld = 0, exchange.slotsHeld
+	defer func() { exchange.answeredInStep = 0 }()
 	load := 0.0
-	if x.answers > 0 {
-		load = x.pressure / x.answers
+	if exchange.loadSamples > 0 {
+		load = exchange.loadSum / exchange.loadSamples
 	}
-	if x.loadAt > 0 && c.now-x.loadAt <= reportKept {
-		load = max(load, x.load)
+	if exchange.loadReportedAt > 0 && c.now-exchange.loadReportedAt <= reportMaxAge {
+		load = max(load, exchange.load)
 	}
-	x.answers, x.pressure = x.answers*pressureDecay, x.pressure*pressureDecay
-	x.seen = load
-	if x.silent { // silence is no load: the window waits as it was
+	exchange.loadSamples, exchange.loadSum =
+		exchange.loadSamples*evidenceDecay, exchange.loadSum*evidenceDecay
+	exchange.stepLoad = load
+	if exchange.unresponsive { // missing answers show no load: the window stays for the recovery
 		return
 	}
-	full := float64(slots(x))
-	share := full
-	if load < setMid {
-		// A window that a short pause has cut has all its few slots held, which reads High though nothing is
-		// wrong, and Table I would keep it shut. Under its starting size it is measured by that size. Demand
-		// for more would read High too: it is measured by what the exchange has proved to carry, the set-ups
-		// that it would answer, as fast as in this step, before an answer read Medium (Little's law).
-		rate := float64(x.taken) / stepEvery.Seconds()
-		share = max(full, x.start, rate*(x.distance.Seconds()+setMid*c.slow.Seconds()))
-	}
-	change := deltaW(load, min(1, (x.heldAvg[0]+x.heldAvg[1])/2/share))
-	if change > 0 && float64(peak) < full-1 {
+	slotCount := float64(windowSlots(exchange))
+	base := slotCount
+	if load < mediumPeak {
+		// A small window that a short disturbance has cut has all its slots held. That share would read
+		// High and Table I would keep the window small, so below its initial size the share is taken of
+		// that size. Demand for more slots reads High too, so the share is taken at least of the set-ups
+		// that the exchange has shown to carry: those that it would answer, at the rate of this step,
+		// within the delay that reads Medium (Little's law).
+		rate := float64(exchange.answeredInStep) / stepInterval.Seconds()
+		base = max(slotCount, exchange.initialWindow,
+			rate*(exchange.baseDelay.Seconds()+mediumPeak*c.fullLoadDelay.Seconds()))
+	}
+	change := deltaW(load, min(1, (exchange.meanSlotsHeld[0]+exchange.meanSlotsHeld[1])/2/base))
+	if change > 0 && float64(peakSlotsHeld) < slotCount-1 {
 		return // it grows only when its slots were nearly all used
 	}
 	ceiling := maxWindow
-	if x == c.own { // it stands before all others
-		ceiling *= float64(max(1, len(c.order)))
+	if exchange == c.own { // every set-up passes the own processor
+		ceiling *= float64(max(1, len(c.byPointCode)))
 	}
-	x.window = min(ceiling, max(minSlots, x.window*(1+change)))
+	exchange.window = min(ceiling, max(minSlots, exchange.window*(1+change)))
 }
 
-// table is Table I: rows by load, columns by share of slots held; Low, Medium, High.
-var table = [3][3]float64{
-	{inc, slowInc, slowDec},
-	{slowInc, noChange, dec},
-	{slowDec, dec, fastDec},
+// tableI is Table I: rows by load, columns by share of slots held, each in the order Low, Medium, High.
+var tableI = [3][3]float64{
+	{increase, slowIncrease, slowDecrease},
+	{slowIncrease, noChange, decrease},
+	{slowDecrease, decrease, fastDecrease},
 }
 
-// grades are the memberships of v in Low, Medium and High.
-func grades(v float64) [3]float64 {
-	up := func(from, to float64) float64 { return min(1, max(0, (v-from)/(to-from))) }
-	low, high := 1-up(setLow, setMid), up(setMid, setHigh)
-	return [3]float64{low, min(up(setLow, setMid), 1-high), high}
+// memberships returns the degrees to which a reading is Low, Medium and High.
+func memberships(reading float64) [3]float64 {
+	ramp := func(from, to float64) float64 { return min(1, max(0, (reading-from)/(to-from))) }
+	low, high := 1-ramp(lowFull, mediumPeak), ramp(mediumPeak, highFull)
+	return [3]float64{low, min(ramp(lowFull, mediumPeak), 1-high), high}
 }
 
-// deltaW is the Mamdani controller: rules fire by the lesser of their grades, rules with the same output
-// merge by the greater, and the central average of the outputs is the change.
+// deltaW returns the relative change of a window by Mamdani inference: a rule fires to the lesser of its
+// two memberships, rules with the same output merge to the greater, and the outputs are averaged by these
+// weights.
 func deltaW(load, heldShare float64) float64 {
-	a, b := grades(load), grades(heldShare)
-	outputs := [...]float64{fastDec, dec, slowDec, noChange, slowInc, inc}
+	loadGrades, heldGrades := memberships(load), memberships(heldShare)
+	outputs := [...]float64{fastDecrease, decrease, slowDecrease, noChange, slowIncrease, increase}
 	var sum, weight float64
-	for _, out := range outputs {
+	for _, output := range outputs {
 		var fired float64
-		for i := range table {
-			for j := range table[i] {
-				if table[i][j] == out {
-					fired = max(fired, min(a[i], b[j]))
+		for i := range tableI {
+			for j := range tableI[i] {
+				if tableI[i][j] == output {
+					fired = max(fired, min(loadGrades[i], heldGrades[j]))
 				}
 			}
 		}
-		sum, weight = sum+fired*out, weight+fired
+		sum, weight = sum+fired*output, weight+fired
 	}
 	return sum / weight
 }
--- a/policy/view.go
+++ b/policy/view.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// View is what operators see of one exchange. It is read only; nothing is decided from it.
+// View is the state of one exchange for operators. It is read only; nothing is decided from it.
 type View struct {
 	PointCode  int
 	Address    string
 	Health     Health
 	Launched   time.Duration // latest start; 0: long ago
-	Cold       bool
-	Window     float64 // Wmax
-	SlotsHeld  int     // slots held now
-	Load       float64 // first input of the last step
-	Silent     bool
-	Free, Size float64 // circuits of the trunk group, as the module counts them
-	Pending    int     // set-ups awaiting an answer
+	Cold       bool          // still warming up after its start
+	Window     float64       // size in slots (Wmax)
+	SlotsHeld  int           // slots held now
+	Load       float64       // load input of the last step
+	Silent     bool          // unresponsive: it gets probe calls only
+	Free, Size float64       // circuits of the trunk group, as the Engine counts them
+	Pending    int           // set-ups awaiting an answer
 }
 
-// View appends what the controller holds of each exchange, the own one first.
+// View appends the state of each exchange to out, the own one first, then by point code.
 func (c *Engine) View(out []View) []View {
-	see := func(x *exchange) View {
-		return View{PointCode: x.code, Address: x.addr,
-			Health: x.health, Launched: x.launched, Cold: c.cold(x),
-			Window: x.window, SlotsHeld: x.held, Load: x.seen, Silent: x.silent,
-			Free: x.free, Size: x.size, Pending: len(x.out)}
+	viewOf := func(exchange *exchangeState) View {
+		return View{PointCode: exchange.pointCode, Address: exchange.address,
+			Health: exchange.health, Launched: exchange.startedAt, Cold: c.isCold(exchange),
+			Window: exchange.window, SlotsHeld: exchange.slotsHeld,
+			Load: exchange.stepLoad, Silent: exchange.unresponsive,
+			Free: exchange.freeCircuits, Size: exchange.groupSize, Pending: len(exchange.outstanding)}
 	}
-	out = append(out, see(c.own))
-	for _, x := range c.order {
-		out = append(out, see(x))
+	out = append(out, viewOf(c.own))
+	for _, exchange := range c.byPointCode {
+		out = append(out, viewOf(exchange))
 	}
 	return out
 }
