--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -10,29 +10,31 @@
 	"time"
 )
 
-// coldFleet is many controllers and one switch that starts anew: a processor with one line, so that it answers late when more
-// comes than it can do.
+// coldStartFleet is the controllers of a mesh and one switch that restarts. The switch has one processor, which answers late
+// when more set-ups come than it can carry.
 type coldStartFleet struct {
 	cfg        Config
-	rates      []float64 // usual set-ups a second of each controller to the switch
-	engine     []*Engine
+	rates      []float64 // usual set-ups per second of each controller to the switch
+	engine     []*Engine // by controller
 	now        time.Duration
 	rnd        *rand.Rand
 	lastCallID uint64
 	pending    []fleetEvent
-	idleAt     time.Duration // when the processor has done what it has
-	capacity   float64       // set-ups a second that it can do
+	idleAt     time.Duration // when the processor has done its work
+	capacity   float64       // set-ups per second that the processor can carry
 	address    string
 	startedAt  time.Duration
-	sent       []time.Duration // set-ups to the switch since its start
+	sent       []time.Duration // times of the set-ups to the switch since its restart
 }
 
+// fleetEvent is an event that a controller gets at a time.
 type fleetEvent struct {
 	at time.Duration
 	to *Engine
 	ev Event
 }
 
+// startEngine starts controller i anew.
 func (f *coldStartFleet) startEngine(i int) {
 	cfg := f.cfg
 	cfg.Self, cfg.Seed, cfg.Index, cfg.Controllers = i+1, uint64(i), i, len(f.rates)+1
@@ -44,7 +46,7 @@
 	f.do(engine, List{Full: true, Entries: f.entries()})
 }
 
-// entries are the switch, exchange 0, and those of the controllers.
+// entries returns the list of exchanges: 0 is the switch, the others belong to the controllers.
 func (f *coldStartFleet) entries() []Entry {
 	all := []Entry{{Address: f.address, Launched: f.startedAt}}
 	for i := range f.engine {
@@ -53,6 +55,7 @@
 	return all
 }
 
+// do handles one event and schedules the consequences of its actions.
 func (f *coldStartFleet) do(c *Engine, ev Event) {
 	for _, a := range c.Handle(f.now, ev, nil) {
 		switch a := a.(type) {
@@ -77,7 +80,7 @@
 	}
 }
 
-// run plays a time in which each controller is offered calls to the switch at a rate.
+// run offers calls to the switch at a rate per controller, and calls between the controllers' own exchanges.
 func (f *coldStartFleet) run(duration time.Duration, rate func(i int) float64) {
 	const tick = 5 * ms
 	for end := f.now + duration; f.now < end; f.now += tick {
@@ -85,7 +88,7 @@
 		slices.SortStableFunc(ready, func(a, b fleetEvent) int { return cmp.Compare(a.at, b.at) })
 		f.pending = slices.DeleteFunc(f.pending, func(e fleetEvent) bool { return e.at <= f.now })
 		for _, e := range ready {
-			if e.at <= f.now && slices.Contains(f.engine, e.to) { // not of one that was restarted
+			if e.at <= f.now && slices.Contains(f.engine, e.to) { // not for one that was started anew since
 				f.do(e.to, e.ev)
 			}
 		}
@@ -104,18 +107,19 @@
 	}
 }
 
-// TestColdBudgetOfAll: however many controllers there are, however unlike each other, and though some have just been restarted,
-// what all of them send to a cold switch within any span keeps to what the settings allow, and a little for chance. The switch
-// can do what its usual load tells (coldUse), and stays at its cold share for the whole warm-up.
+// TestColdBudgetHoldsAcrossControllers: whatever their number, their shares of the load and their own
+// restarts, all controllers together send a cold switch no more within CrashSpan than makes it fail, with a
+// tolerance of two standard deviations and two set-ups. The switch has capacityMultiple times its usual load
+// as capacity, and only its cold share during the whole warm-up.
 func TestColdBudgetHoldsAcrossControllers(t *testing.T) {
 	for _, controllers := range []int{1, 7, 20, 30, 36} {
 		for _, usual := range []float64{2.4, 5, 20} {
-			for _, demand := range []string{"usual", "three times", "all at once", "ten times after a while"} {
+			for _, demand := range []string{"usual", "three times usual", "saturating", "ten times usual after 6 s"} {
 				t.Run(fmt.Sprintf("%d controllers, %v/s, %s", controllers, usual, demand), func(t *testing.T) {
 					f := &coldStartFleet{cfg: testConfig(), rates: make([]float64, controllers), engine: make([]*Engine, controllers), now: time.Hour, address: "old",
 						capacity: capacityMultiple * usual, rnd: rand.New(rand.NewPCG(uint64(controllers), uint64(usual)))}
 					var sum float64
-					for i := range f.rates { // busy ones have several times the mean
+					for i := range f.rates { // the busiest have several times the mean rate
 						f.rates[i] = 0.3 + f.rnd.ExpFloat64()
 						sum += f.rates[i]
 					}
@@ -127,7 +131,7 @@
 					f.run(20*time.Second, atUsual(1))
 					f.address, f.startedAt, f.capacity, f.idleAt = "new", f.now, f.capacity*f.cfg.ColdShare, 0
 					for i, engine := range f.engine {
-						if i%10 == 3 { // it knows of no usual load
+						if i%10 == 3 { // started anew: it knows no usual rate
 							f.startEngine(i)
 						} else {
 							f.do(engine, List{Entries: f.entries()[:1]})
@@ -136,13 +140,13 @@
 					switch demand {
 					case "usual":
 						f.run(f.cfg.WarmUp, atUsual(1))
-					case "three times":
+					case "three times usual":
 						f.run(f.cfg.WarmUp, atUsual(3))
-					case "ten times after a while":
+					case "ten times usual after 6 s":
 						f.run(6*time.Second, atUsual(1))
 						f.startEngine(0)
 						f.run(f.cfg.WarmUp-6*time.Second, atUsual(10))
-					case "all at once": // each has more at every moment than all may send
+					case "saturating": // each controller always has more calls than all together may send
 						f.run(f.cfg.WarmUp, func(int) float64 { return 4 })
 					}
 					allowed := f.cfg.CrashMultiple * f.cfg.ColdShare * capacityMultiple * usual * f.cfg.CrashSpan.Seconds()
@@ -154,9 +158,9 @@
 						}
 						most = max(most, within)
 					}
-					t.Logf("%d set-ups within a span at the most, %d in all, N is %.1f", most, len(f.sent), allowed)
+					t.Logf("at most %d set-ups within CrashSpan, %d in all; the budget is %.1f", most, len(f.sent), allowed)
 					if limit := allowed + 2*math.Sqrt(allowed) + 2; float64(most) > limit {
-						t.Errorf("%d set-ups within a span, %.1f is the most", most, limit)
+						t.Errorf("%d set-ups within CrashSpan, the limit is %.1f", most, limit)
 					}
 				})
 			}
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -21,12 +21,12 @@
 
 var addresses = []string{"a:0", "a:1", "a:2", "a:3"}
 
-// rig drives one controller and keeps what it did.
+// harness drives the Engine of exchange 0, with the far exchanges 1 to 3.
 type harness struct {
 	t   *testing.T
 	c   *Engine
 	now time.Duration
-	id  uint64
+	id  uint64 // of the last call that was offered
 }
 
 func newHarness(t *testing.T, cfg Config, freeCircuits float64) *harness {
@@ -48,6 +48,7 @@
 	return r
 }
 
+// do handles an event and returns the actions, without the timers.
 func (r *harness) do(ev Event) []Action {
 	var acts []Action
 	for _, a := range r.c.Handle(r.now, ev, nil) {
@@ -63,7 +64,7 @@
 		Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}})
 }
 
-// call offers a call to exchange dest.
+// offerCall offers a new call to the exchange dest.
 func (r *harness) offerCall(dest int, change ...func(*Offered)) []Action {
 	r.id++
 	ev := Offered{Call: r.id, Destination: dest, AdvisedTandem: -1, Circuits: 1, Due: r.now + 3*time.Second,
@@ -78,12 +79,13 @@
 	return r.do(AttemptEnded{Call: call, Exchange: at, Cause: cause, Reason: reason})
 }
 
-// pass lets time go by without a stall: the step timer is not overdue.
+// advance moves the time on without a stall: the step timer never becomes overdue.
 func (r *harness) advance(d time.Duration) {
 	r.now += d
 	r.c.nextStepAt = max(r.c.nextStepAt, r.now)
 }
 
+// runSteps runs n steps of the windows and returns their actions.
 func (r *harness) runSteps(n int) (acts []Action) {
 	for range n {
 		r.advance(stepInterval)
@@ -92,6 +94,7 @@
 	return acts
 }
 
+// setUpTarget returns the exchange of the first set-up among the actions; empty if there is none.
 func (r *harness) setUpTarget(acts []Action) string {
 	r.t.Helper()
 	for _, a := range acts {
@@ -111,6 +114,8 @@
 	return n
 }
 
+// TestDeltaWFollowsTableI: at the peaks of the fuzzy sets the change is the output of Table I. In between it
+// stays within the range of the outputs and never grows with the load or with the share of slots held.
 func TestDeltaWFollowsTableI(t *testing.T) {
 	at := [3]float64{0, mediumPeak, 1}
 	want := [3][3]float64{{0.4, 0.15, -0.15}, {0.15, 0, -0.35}, {-0.15, -0.35, -0.6}}
@@ -123,7 +128,7 @@
 	}
 	for l := 0.0; l <= 1; l += 0.05 {
 		if memberships(min(l, 0.599))[2] > 0 {
-			t.Errorf("a reading of %v is High", l)
+			t.Errorf("a reading of %v has a membership in High, want none below 0.6", l)
 		}
 		for h := 0.0; h <= 1; h += 0.05 {
 			w := deltaW(l, h)
@@ -131,21 +136,23 @@
 				t.Errorf("deltaW(%v, %v) = %v is out of range", l, h, w)
 			}
 			if deltaW(l+0.3, h) > w+1e-9 || deltaW(l, h+0.3) > w+1e-9 {
-				t.Errorf("deltaW grows with an input at (%v, %v)", l, h)
+				t.Errorf("deltaW grows with the load or the share held at (%v, %v)", l, h)
 			}
 		}
 	}
 }
 
+// TestWindowKeptWhenUnusedAndCutWhenLoaded: a window whose slots are not used must not grow. With all slots
+// held and full load it is cut by 0.6 in one step, but never below minSlots.
 func TestWindowKeptWhenUnusedAndCutWhenLoaded(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	exchange := r.c.exchanges[1]
 	initial := exchange.window
 	r.runSteps(3)
 	if exchange.window != initial {
-		t.Errorf("an unused window went from %v to %v", initial, exchange.window)
+		t.Errorf("an unused window changed from %v to %v", initial, exchange.window)
 	}
-	for range 6 { // all slots held: High; overdue answers: High
+	for range 6 { // all slots held and full load: both inputs High
 		r.offerCall(1)
 		exchange.loadSamples, exchange.loadSum = exchange.loadSamples+10, exchange.loadSum+10
 	}
@@ -159,10 +166,12 @@
 	exchange.window = 1
 	r.runSteps(1)
 	if exchange.window < minSlots {
-		t.Errorf("window %v is under its floor", exchange.window)
+		t.Errorf("window %v is below minSlots", exchange.window)
 	}
 }
 
+// TestHeldCallRefusedOnceAfterMaxHold: a call without a free circuit is held, refused after maxHold and not
+// sent when circuits become free later: a call has one final answer.
 func TestHeldCallRefusedOnceAfterMaxHold(t *testing.T) {
 	r := newHarness(t, testConfig(), 0) // no circuits: the call is held
 	if acts := r.offerCall(1); len(acts) != 0 {
@@ -173,24 +182,28 @@
 		t.Fatalf("after the hold: %v, want one Refuse", acts)
 	}
 	if acts := r.reportFreeCircuits(1, 5); len(acts) != 0 {
-		t.Errorf("after the final answer: %v", acts)
+		t.Errorf("after the final answer: %v, want no action", acts)
 	}
 }
 
+// TestTimeOutAtDueFailsCallOnce: an attempt that times out at the due time of its call leaves no time for
+// another one. The call, in transit or not, still gets its final answer, and only one.
 func TestTimeOutAtDueFailsCallOnce(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	for _, transit := range []bool{false, true} {
 		acts := r.offerCall(1, func(o *Offered) { o.Transit = transit })
 		if r.setUpTarget(acts) != "a:1" {
-			t.Fatalf("no set-up: %v", acts)
+			t.Fatalf("%v, want a set-up to a:1", acts)
 		}
 		r.advance(3 * time.Second)
 		if acts := r.attemptEnded(r.id, "a:1", TimedOut, NoReason); countActions[Fail](acts) != 1 || len(acts) != 1 {
-			t.Errorf("transit %v: %v at the due time, want one Fail", transit, acts)
+			t.Errorf("transit %v: %v at the due time, want one Fail and nothing else", transit, acts)
 		}
 	}
 }
 
+// TestGuardPassesBeforeNextAttempt: after a reset or a cancelled attempt its circuit may still be seized, so
+// the call is held until Config.Guard has passed and is then tried again.
 func TestGuardPassesBeforeNextAttempt(t *testing.T) {
 	for _, cause := range []Cause{Reset, Cancelled} {
 		r := newHarness(t, testConfig(), 20)
@@ -209,6 +222,8 @@
 	}
 }
 
+// TestDrainingAndRemovedExchangesGetNoSetUps: an exchange that drains, is removed or is missing from a full
+// list gets no set-ups; a machine that replaces it does.
 func TestDrainingAndRemovedExchangesGetNoSetUps(t *testing.T) {
 	for _, h := range []Health{Draining, Gone} {
 		r := newHarness(t, testConfig(), 20)
@@ -224,15 +239,17 @@
 	r := newHarness(t, testConfig(), 20)
 	r.do(List{Full: true, Entries: []Entry{{Address: "a:2", PointCode: 2}}})
 	if acts := r.offerCall(1); countActions[SetUp](acts) != 0 {
-		t.Errorf("an exchange missing from the whole list was sent to: %v", acts)
+		t.Errorf("set-up to an exchange that is missing from the full list: %v", acts)
 	}
 }
 
+// TestColdBudgetBoundsSetUpsWithinCrashSpan: under demand far beyond it, a controller sends a cold exchange
+// no more than its budget within any CrashSpan, calls in transit included, and does use the budget.
 func TestColdBudgetBoundsSetUpsWithinCrashSpan(t *testing.T) {
 	cfg := testConfig()
 	r := newHarness(t, cfg, 1e6)
 	exchange := r.c.exchanges[1]
-	exchange.usualRate, exchange.rateSteps, exchange.window = 4, 1e6, 100 // sent at that rate for long
+	exchange.usualRate, exchange.rateSteps, exchange.window = 4, 1e6, 100 // a rate that is known well
 	r.c.usualRate = 4
 	r.do(List{Entries: []Entry{{Address: "a:1", PointCode: 1, Launched: r.now}}})
 	exchange.window = 100
@@ -257,14 +274,17 @@
 			}
 		}
 		if float64(n) > limit {
-			t.Fatalf("%d set-ups within the span, the budget is %v", n, limit)
+			t.Fatalf("%d set-ups within CrashSpan, the budget is %v", n, limit)
 		}
 	}
 	if len(sends) < 6 {
-		t.Errorf("only %d set-ups to the cold exchange", len(sends))
+		t.Errorf("only %d set-ups to the cold exchange, want at least 6", len(sends))
 	}
 }
 
+// TestCrankbackTriesOtherTandemAndReserveIsKept: after a crankback the other tandem is tried, but none once
+// the destination is known to be full. Calls over a tandem and in transit leave the reserved circuits of a
+// group free.
 func TestCrankbackTriesOtherTandemAndReserveIsKept(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	r.reportFreeCircuits(1, 0)
@@ -277,18 +297,20 @@
 		t.Fatalf("second attempt to %q, want the other tandem", second)
 	}
 	if acts := r.attemptEnded(1, second, NotSetUp, CrankbackFull); countActions[Refuse](acts) != 1 {
-		t.Errorf("destination full: %v, want Refuse", acts)
+		t.Errorf("after a crankback because the destination is full: %v, want Refuse", acts)
 	}
 	r.reportFreeCircuits(2, reservedCircuits)
 	r.reportFreeCircuits(3, reservedCircuits)
 	if acts := r.offerCall(1); countActions[SetUp](acts) != 0 {
-		t.Errorf("a tandem call took one of the last circuits: %v", acts)
+		t.Errorf("a call over a tandem took a reserved circuit: %v", acts)
 	}
 	if acts := r.offerCall(2, func(o *Offered) { o.Transit = true }); countActions[Refuse](acts) != 1 {
-		t.Errorf("transit on the last circuits: %v, want Refuse", acts)
+		t.Errorf("transit with only the reserved circuits free: %v, want Refuse", acts)
 	}
 }
 
+// TestFullWindowHoldsCallWithoutTandem: while the window of the destination is full, a call is held and not
+// sent over a tandem, which would add to the load of the destination. It is sent when a slot becomes free.
 func TestFullWindowHoldsCallWithoutTandem(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	r.c.exchanges[1].window = 1
@@ -298,10 +320,12 @@
 		t.Errorf("%v, want the call held at the destination's window", acts)
 	}
 	if acts := r.do(Established{Call: 1, Exchange: "a:1", Delay: 20 * ms}); countActions[SetUp](acts) != 1 {
-		t.Errorf("%v after the slot came free, want one set-up", acts)
+		t.Errorf("%v after the slot became free, want one set-up", acts)
 	}
 }
 
+// TestUnresponsiveExchangeGetsProbeCallsAndKeepsWindow: an exchange that does not respond gets single probe
+// calls. Its window stays as it was, so that calls go on at once when it responds again.
 func TestUnresponsiveExchangeGetsProbeCallsAndKeepsWindow(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	exchange := r.c.exchanges[1]
@@ -314,23 +338,25 @@
 		r.attemptEnded(id+1, "a:1", TimedOut, NoReason)
 	}
 	if acts := r.offerCall(1); countActions[Refuse](acts) != 1 {
-		t.Fatalf("%v to a silent exchange, want Refuse", acts)
+		t.Fatalf("%v to an unresponsive exchange, want Refuse", acts)
 	}
 	r.advance(r.c.probeCallInterval)
 	if acts := r.offerCall(1); r.setUpTarget(acts) != "a:1" {
-		t.Fatalf("%v, want a trial", acts)
+		t.Fatalf("%v, want a probe call", acts)
 	}
 	probeCall := r.id
 	if acts := r.offerCall(1); countActions[SetUp](acts) != 0 {
-		t.Fatalf("%v, want one trial at a time", acts)
+		t.Fatalf("%v, want no second probe call at the same time", acts)
 	}
 	r.runSteps(4)
 	r.do(Established{Call: probeCall, Exchange: "a:1", Delay: 20 * ms})
 	if acts := r.offerCall(1); r.setUpTarget(acts) != "a:1" || exchange.window < initial {
-		t.Errorf("%v, window %v: want calls as before, window %v", acts, exchange.window, initial)
+		t.Errorf("%v and window %v after the answer, want a set-up and at least window %v", acts, exchange.window, initial)
 	}
 }
 
+// TestBusyNumberHoldsBackOnlyThatNumber: a call to a number whose lines are busy fails and the number gets no
+// attempt during the back-off. Other numbers of the same exchange are not held back.
 func TestBusyNumberHoldsBackOnlyThatNumber(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	toBusyNumber := func(o *Offered) { o.Number = "hot" }
@@ -339,13 +365,15 @@
 		t.Fatalf("%v for a busy number, want Fail", acts)
 	}
 	if acts := r.offerCall(1, toBusyNumber); countActions[SetUp](acts) != 0 {
-		t.Errorf("%v: the busy number was tried at once", acts)
+		t.Errorf("%v: the busy number was tried again at once", acts)
 	}
 	if acts := r.offerCall(1); r.setUpTarget(acts) != "a:1" {
 		t.Errorf("%v: another number of the exchange was held back", acts)
 	}
 }
 
+// TestSameEventsGiveSameActions: recorded events can be replayed only if the same events give the same
+// actions, so nothing may depend on the order of a map or on an unseeded random number.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() (all []Action) {
 		r := newHarness(t, testConfig(), 6)
@@ -369,15 +397,17 @@
 	}
 	a, b := run(), run()
 	if len(a) < 1000 || len(a) != len(b) {
-		t.Fatalf("%d and %d actions", len(a), len(b))
+		t.Fatalf("%d and %d actions in two runs, want the same number and at least 1000", len(a), len(b))
 	}
 	for i := range a {
 		if a[i] != b[i] {
-			t.Fatalf("action %d differs: %v and %v", i, a[i], b[i])
+			t.Fatalf("action %d differs between two runs: %v and %v", i, a[i], b[i])
 		}
 	}
 }
 
+// TestNewRejectsInvalidConfig: a configuration without classes, with a negative time or a class without an
+// aim is an error.
 func TestNewRejectsInvalidConfig(t *testing.T) {
 	for name, change := range map[string]func(*Config){
 		"no classes":     func(c *Config) { c.Classes = nil },
@@ -387,13 +417,13 @@
 		cfg := testConfig()
 		change(&cfg)
 		if _, err := New(cfg); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: New returned no error", name)
 		}
 	}
 }
 
-// TestLineWidth keeps the lines of the package within 110 columns, a tab counted as four, so that the decision module is
-// readable side by side. Test files are not checked.
+// TestLineWidth keeps the lines of the decision module within 110 columns, a tab counted as four. Test files
+// are not checked.
 func TestLineWidth(t *testing.T) {
 	for _, name := range []string{"engine.go", "api.go", "view.go"} {
 		text, err := os.ReadFile(name)
@@ -408,23 +438,25 @@
 	}
 }
 
-// TestExcluded: a call that is kept away from an exchange takes it neither as destination nor as tandem; others do.
+// TestExcludedExchangeIsNotUsed: an exchange in Offered.Excluded is used neither as destination nor as
+// tandem; other tandems are.
 func TestExcludedExchangeIsNotUsed(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	if acts := r.offerCall(1, func(o *Offered) { o.Excluded = []int{1} }); countActions[SetUp](acts) != 0 || countActions[Refuse](acts) != 1 {
-		t.Errorf("destination: %v", acts)
+		t.Errorf("destination excluded: %v, want one Refuse", acts)
 	}
 	r.reportFreeCircuits(1, 0)
 	acts := r.offerCall(1, func(o *Offered) { o.Excluded = []int{2} })
 	if s, ok := acts[0].(SetUp); !ok || s.Exchange != addresses[3] {
-		t.Errorf("tandem: %v", acts)
+		t.Errorf("one tandem excluded: %v, want a set-up to the other", acts)
 	}
 	if acts := r.offerCall(1, func(o *Offered) { o.Excluded = []int{2, 3} }); countActions[SetUp](acts) != 0 {
-		t.Errorf("all tandems: %v", acts)
+		t.Errorf("all tandems excluded: %v, want no set-up", acts)
 	}
 }
 
-// TestRedialKeepsItsAim: a caller who dials again has less of the aim left, though more time before its due.
+// TestRedialKeepsAimOfFirstTry: the aim of a redial runs from the first try, though its due time is later. A
+// redial past its aim was held for a circuit like a new call.
 func TestRedialKeepsAimOfFirstTry(t *testing.T) {
 	r := newHarness(t, testConfig(), 0)
 	redial := func(o *Offered) { o.Number, o.Due = "n", r.now+8*time.Second }
@@ -438,11 +470,12 @@
 		t.Errorf("%v: a redial past its aim was held for a circuit", acts)
 	}
 	if w := r.c.own.window; w < ownInitialWindow {
-		t.Errorf("own window %v after redials", w)
+		t.Errorf("own window %v after redials, want at least the initial one", w)
 	}
 }
 
-// TestNewestHeldFirst: with the oldest first every call would stand just after its aim.
+// TestNewestHeldCallGoesFirst: with the oldest call first, a lasting queue would delay every call until just
+// after its aim.
 func TestNewestHeldCallGoesFirst(t *testing.T) {
 	r := newHarness(t, testConfig(), 0)
 	r.offerCall(1)
@@ -454,7 +487,8 @@
 	}
 }
 
-// TestOwnSlowness: answers that are slow from all far exchanges press the own window, not theirs.
+// TestDelayCommonToAllExchangesCountsAsOwnLoad: slow answers of one exchange are load there. Slow answers of
+// all exchanges are a delay at the own processor and must not cut their windows.
 func TestDelayCommonToAllExchangesCountsAsOwnLoad(t *testing.T) {
 	loadsWithSlow := func(from ...int) (*harness, map[int]float64) {
 		r := newHarness(t, testConfig(), 1000)
@@ -478,14 +512,15 @@
 		return r, loads
 	}
 	if _, load := loadsWithSlow(2); load[2] < 0.9 || load[1] > 0.1 || load[0] > 0.1 {
-		t.Errorf("one slow exchange: loads %v", load)
+		t.Errorf("exchange 2 slow: loads by point code %v, want load at 2 only", load)
 	}
 	if _, load := loadsWithSlow(1, 2, 3); load[0] < 0.9 || load[1] > 0.5 {
-		t.Errorf("all slow: loads %v", load)
+		t.Errorf("all exchanges slow: loads by point code %v, want load at the own exchange 0", load)
 	}
 }
 
-// TestEarlyTimerLosesNoCall: a held call whose timer came early went without another timer, and was lost.
+// TestEarlyHoldTimerIsSetAgain: a hold timer may fire slightly early. The call then stayed held without a
+// timer and got no final answer.
 func TestEarlyHoldTimerIsSetAgain(t *testing.T) {
 	r := newHarness(t, testConfig(), 0)
 	r.offerCall(1)
@@ -496,12 +531,13 @@
 	}
 	r.advance(acts[0].(SetTimer).After)
 	if acts := r.do(Timer{ID: 1}); countActions[Refuse](acts) != 1 {
-		t.Errorf("%v, want the final answer", acts)
+		t.Errorf("%v after the second timer, want one Refuse", acts)
 	}
 }
 
-// TestFullAnswersRestTheirSlot: a full processor answers at once and was sent twenty set-ups a second. The first of
-// them may be tried again: that it is full shows in a row of them.
+// TestFullExchangeGetsNoSetUpsDuringBackOff: a full processor rejects at once, so its slot is free again at
+// once and it was sent twenty set-ups per second. After fullAfterRejections in a row it gets none until its
+// back-off ends.
 func TestFullExchangeGetsNoSetUpsDuringBackOff(t *testing.T) {
 	r := newHarness(t, testConfig(), 1000)
 	exchange := r.c.exchanges[1]
@@ -516,23 +552,24 @@
 		}
 	}
 	if sent > 5+fullAfterRejections {
-		t.Errorf("%d set-ups in 5 s to a processor that is full", sent)
+		t.Errorf("%d set-ups in 5 s to a full processor, want at most 5+fullAfterRejections", sent)
 	}
 	r.advance(minBackOff)
 	if r.setUpTarget(r.offerCall(1)) != "a:1" || exchange.slotsHeld != 1 {
-		t.Errorf("%d slots held after the rest, want the one in use", exchange.slotsHeld)
+		t.Errorf("%d slots held after the back-off, want the one in use", exchange.slotsHeld)
 	}
 }
 
-// TestPriorCallsGetOneMoreSlot: in a jam every slot was held by calls of the least worth.
+// TestPriorityCallsGetOneExtraSlot: under overload all slots were held by calls of the lowest worth. Calls of
+// higher worth and calls offered again after a cut get one slot beyond the window, but not two.
 func TestPriorityCallsGetOneExtraSlot(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*Offered)
 		sent   bool
 	}{
-		"ordinary": {func(o *Offered) {}, false},
-		"worthier": {func(o *Offered) { o.Class = 1 }, true},
-		"cut":      {func(o *Offered) { o.CutBefore = true }, true},
+		"ordinary":     {func(o *Offered) {}, false},
+		"higher worth": {func(o *Offered) { o.Class = 1 }, true},
+		"cut":          {func(o *Offered) { o.CutBefore = true }, true},
 	} {
 		r := newHarness(t, testConfig(), 100)
 		r.c.exchanges[1].window = 1
@@ -541,12 +578,14 @@
 			t.Errorf("%s call beyond the window: sent %v, want %v", name, got, tc.sent)
 		}
 		if r.setUpTarget(r.offerCall(1, tc.change)) != "" {
-			t.Errorf("%s call: a second slot beyond the window", name)
+			t.Errorf("%s call: got a second slot beyond the window", name)
 		}
 	}
 }
 
-// TestLateCallsLeaveCircuits: redials past their aim took circuits that fresh calls would have used in time.
+// TestLateCallsLeaveReservedCircuits: redials past their aim took circuits that new calls could have used in
+// time. They leave the reserved circuits of a group free and go over no tandem, which would seize circuits of
+// two groups.
 func TestLateCallsLeaveReservedCircuits(t *testing.T) {
 	r := newHarness(t, testConfig(), 0)
 	redial := func(o *Offered) { o.Number, o.Due = "n", r.now+8*time.Second }
@@ -556,19 +595,20 @@
 	r.advance(time.Second)
 	r.reportFreeCircuits(1, reservedCircuits)
 	if acts := r.offerCall(1, redial); countActions[SetUp](acts) != 0 {
-		t.Errorf("%v: a late call took one of the last circuits", acts)
+		t.Errorf("%v: a late call took a reserved circuit", acts)
 	}
 	r.reportFreeCircuits(1, 0)
 	if acts := r.offerCall(1, redial); countActions[SetUp](acts) != 0 {
-		t.Errorf("%v: a late call took circuits of two groups", acts)
+		t.Errorf("%v: a late call went over a tandem", acts)
 	}
 	r.reportFreeCircuits(1, reservedCircuits)
 	if acts := r.offerCall(1); r.setUpTarget(acts) != "a:1" {
-		t.Errorf("%v: a fresh call did not get the circuit", acts)
+		t.Errorf("%v: a new call did not get the reserved circuit", acts)
 	}
 }
 
-// TestTenantsWithinTheirQuota: a tenant that offers far more than its part ranks low, the other does not.
+// TestOverQuotaTenantGetsLowPriority: of two tenants with equal quotas one offers nine calls in ten. Its
+// calls beyond the quota leave the reserved circuits free; the other tenant loses no call.
 func TestOverQuotaTenantGetsLowPriority(t *testing.T) {
 	cfg := testConfig()
 	cfg.OverQuotaWorth, cfg.Tenants = 0.1, []Tenant{{Quota: 5}, {Quota: 5}}
@@ -584,56 +624,59 @@
 		}
 	}
 	if sent[0] != 20 || sent[1] > 120 {
-		t.Errorf("%v set-ups of 20 and 180 calls: the quota does not tell", sent)
+		t.Errorf("set-ups per tenant %v of 20 and 180 calls, want 20 and at most 120", sent)
 	}
 }
 
-// TestAdviceIsNotTrustedTwice: the advised tandem goes first, but not after it has turned a call back.
+// TestAdvisedTandemSkippedAfterCrankback: the advised tandem is tried first, but the advice may be stale, so
+// not again right after it turned a call back. Advice that names no usable tandem is ignored.
 func TestAdvisedTandemSkippedAfterCrankback(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	r.reportFreeCircuits(1, 0)
 	r.c.own.window, r.c.exchanges[3].window = 50, 50
 	for advised, want := range map[int]string{2: "a:2", 3: "a:3"} {
 		if got := r.setUpTarget(r.offerCall(1, func(o *Offered) { o.AdvisedTandem = advised })); got != want {
-			t.Errorf("advised %d: sent to %s", advised, got)
+			t.Errorf("tandem %d advised: sent to %s", advised, got)
 		}
 	}
 	r.offerCall(1, func(o *Offered) { o.AdvisedTandem = 2 })
 	r.attemptEnded(r.id, "a:2", NotSetUp, Crankback)
 	if got := r.setUpTarget(r.offerCall(1, func(o *Offered) { o.AdvisedTandem = 2 })); got == "a:2" {
-		t.Error("stale advice was followed again at once")
+		t.Error("the advised tandem was tried again right after it turned a call back")
 	}
-	for _, bad := range []int{0, 1, 99, -1} { // the own exchange, the destination, none
+	for _, bad := range []int{0, 1, 99, -1} { // the own exchange, the destination, an unknown one, none
 		if got := r.setUpTarget(r.offerCall(1, func(o *Offered) { o.AdvisedTandem = bad })); got != "a:3" {
-			t.Errorf("advised %d: sent to %q", bad, got)
+			t.Errorf("tandem %d advised: sent to %q, want a:3", bad, got)
 		}
 	}
 }
 
-// TestUnexpectedEvents: figures that jump, answers after the end and word of unknown ones change nothing and break nothing.
+// TestUnexpectedEventsHaveNoEffect: late answers, events of unknown calls, exchanges and timers, and a list
+// that could not be read cause no action. With a flapping list and jumping circuit counts only ready
+// exchanges get set-ups.
 func TestUnexpectedEventsHaveNoEffect(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	r.offerCall(1)
 	r.advance(1500 * ms)
 	r.attemptEnded(1, "a:1", TimedOut, NoReason)
 	for name, ev := range map[string]Event{
-		"late answer":        Established{Call: 1, Exchange: "a:1", Delay: 2 * time.Second},
-		"unknown call":       AttemptEnded{Call: 99, Exchange: "a:1", Cause: Completed, Final: true},
-		"unknown exchange":   Status{Exchange: "x", OK: true},
-		"unknown timer":      Timer{ID: 77},
-		"unknown release":    CallerReleased{Call: 99},
-		"list not to be had": List{Failed: true},
+		"late answer":      Established{Call: 1, Exchange: "a:1", Delay: 2 * time.Second},
+		"unknown call":     AttemptEnded{Call: 99, Exchange: "a:1", Cause: Completed, Final: true},
+		"unknown exchange": Status{Exchange: "x", OK: true},
+		"unknown timer":    Timer{ID: 77},
+		"unknown release":  CallerReleased{Call: 99},
+		"unreadable list":  List{Failed: true},
 	} {
 		if acts := r.do(ev); len(acts) != 0 {
-			t.Errorf("%s: %v", name, acts)
+			t.Errorf("%s: %v, want no action", name, acts)
 		}
 	}
-	for i := range 50 { // a flapping list and jumping circuits
+	for i := range 50 { // the list flaps and the circuit counts jump
 		r.advance(100 * ms)
 		r.do(List{Entries: []Entry{{Address: "a:1", PointCode: 1, Health: Health(i % 3)}}})
 		r.reportFreeCircuits(1, float64(i%2)*1e9)
 		if got := r.setUpTarget(r.offerCall(1)); got != "" && i%3 != 0 {
-			t.Errorf("health %d: sent to %q", i%3, got)
+			t.Errorf("exchange 1 has health %d: set-up to %q, want none", i%3, got)
 		}
 		r.do(CallerReleased{Call: r.id})
 	}
@@ -642,12 +685,13 @@
 	}
 }
 
-// TestTandemsInTrouble: a pressed tandem, or one where an attempt timed out, cost call after call.
+// TestUnfitTandemIsSkipped: a loaded, unresponsive or cold tandem, or one where an attempt has just timed
+// out, was used for call after call. The other tandem is used instead, even against advice.
 func TestUnfitTandemIsSkipped(t *testing.T) {
 	for name, impair := range map[string]func(r *harness){
-		"pressed": func(r *harness) { r.c.exchanges[2].stepLoad = 0.7 },
-		"silent":  func(r *harness) { r.c.exchanges[2].unresponsive = true },
-		"cold":    func(r *harness) { r.c.exchanges[2].startedAt = r.now },
+		"loaded":       func(r *harness) { r.c.exchanges[2].stepLoad = 0.7 },
+		"unresponsive": func(r *harness) { r.c.exchanges[2].unresponsive = true },
+		"cold":         func(r *harness) { r.c.exchanges[2].startedAt = r.now },
 		"timed out": func(r *harness) {
 			r.offerCall(1, func(o *Offered) { o.AdvisedTandem = 2 })
 			r.advance(1500 * ms)
@@ -663,8 +707,9 @@
 	}
 }
 
-// TestLostSetUpsAreMadeAgain: an exchange lost a third of its set-ups while it answered the rest quickly; that was
-// read as load, and each lost call waited for its whole aim.
+// TestLostSetUpsRetriedWithinAim: an exchange loses one set-up in four and answers the rest quickly. The
+// losses were read as load and each lost call waited for its whole aim. Once losses are known, the first
+// attempt is given a short time-out and the call is tried again.
 func TestLostSetUpsRetriedWithinAim(t *testing.T) {
 	r := newHarness(t, testConfig(), 1000)
 	var retried, shortened int
@@ -696,11 +741,11 @@
 		}
 	}
 	if shortened < 20 || retried < 20 {
-		t.Errorf("%d attempts cut short and %d made again of 60 lost", shortened, retried)
+		t.Errorf("%d attempts with a short time-out and %d retried of 60 lost, want at least 20 of each", shortened, retried)
 	}
 }
 
-// wide makes a rig with n far exchanges, whose trunk groups have the given free circuits and size.
+// newWideHarness returns a harness with the given number of far exchanges and circuits of each trunk group.
 func newWideHarness(t *testing.T, exchanges int, freeCircuits, groupSize float64) *harness {
 	t.Helper()
 	addresses = addresses[:1]
@@ -720,14 +765,16 @@
 		Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}})
 }
 
+// TestLastSuccessfulTandemIsTriedFirst: where many tandems exist, the one that last carried a call to a
+// destination is the best guess, before an advised one. After a crankback untried tandems go first.
 func TestLastSuccessfulTandemIsTriedFirst(t *testing.T) {
 	r := newWideHarness(t, 40, 20, 20)
-	r.reportGroup(1, 0, 0) // no group to the destination
+	r.reportGroup(1, 0, 0) // no trunk group to the destination
 	first := r.setUpTarget(r.offerCall(1))
 	r.do(Established{Call: r.id, Exchange: first, Delay: 80 * ms})
 	for range 5 {
 		if at := r.setUpTarget(r.offerCall(1, func(o *Offered) { o.AdvisedTandem = 30 })); at != first {
-			t.Fatalf("sent to %s, though %s carried the last call", at, first)
+			t.Fatalf("sent to %s, want %s, which carried the last call", at, first)
 		}
 		r.do(Established{Call: r.id, Exchange: first, Delay: 80 * ms})
 	}
@@ -737,12 +784,14 @@
 	for range 5 {
 		at := r.setUpTarget(r.offerCall(1))
 		if at == first {
-			t.Errorf("sent to %s, which turned the last call back, with others untried", at)
+			t.Errorf("sent to %s, which turned the last call back, while others are untried", at)
 		}
 		r.do(Established{Call: r.id, Exchange: at, Delay: 80 * ms})
 	}
 }
 
+// TestSmallGroupReservesOneCircuit: with two circuits reserved in a group of five, calls that need a tandem
+// would find no route.
 func TestSmallGroupReservesOneCircuit(t *testing.T) {
 	for _, tc := range []struct {
 		free, size float64
@@ -757,13 +806,15 @@
 	}
 }
 
+// TestOwnStallNotCountedAsLoad: after a stall of the controller all answers and its own step timer come late
+// at once. They were read as load of all exchanges, and the windows were cut.
 func TestOwnStallNotCountedAsLoad(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	r.runSteps(2)
 	for i := 1; i <= 3; i++ {
 		r.offerCall(i)
 	}
-	r.now += 1800 * ms // nothing was heard, its own timer neither
+	r.now += 1800 * ms // a stall: no event was handled, the step timer neither
 	windows := []float64{r.c.own.window, r.c.exchanges[1].window}
 	for i := range 3 {
 		r.do(Established{Call: uint64(i + 1), Exchange: addresses[i+1], Delay: 1900 * ms})
@@ -771,13 +822,15 @@
 	r.do(Timer{ID: stepTimer})
 	r.runSteps(4)
 	if r.c.ownWait > 0 || r.c.exchanges[1].stepLoad > 0 {
-		t.Errorf("own wait %v, load %v read from a stall of its own", r.c.ownWait, r.c.exchanges[1].stepLoad)
+		t.Errorf("own wait %v and load %v after a stall, want 0 for both", r.c.ownWait, r.c.exchanges[1].stepLoad)
 	}
 	if r.c.own.window < windows[0] || r.c.exchanges[1].window < windows[1] {
 		t.Errorf("windows cut to %v and %v after a stall", r.c.own.window, r.c.exchanges[1].window)
 	}
 }
 
+// TestRedialDetection: a call to a number that was refused lately counts as a redial, unless callers mark
+// their redials, the call has no number, or the number's lines are busy (mass calling).
 func TestRedialDetection(t *testing.T) {
 	for _, c := range []struct {
 		name                       string
@@ -785,9 +838,9 @@
 		number                     string
 		late                       bool
 	}{
-		{name: "guessed", number: "x", late: true},
+		{name: "unmarked", number: "x", late: true},
 		{name: "marked", marks: true, marked: true, number: "x", late: true},
-		{name: "not marked where callers mark", marks: true, number: "x"},
+		{name: "unmarked though callers mark redials", marks: true, number: "x"},
 		{name: "no number"},
 		{name: "mass calling", number: "x", massCalling: true},
 	} {
@@ -805,13 +858,15 @@
 		}
 		r.advance(time.Second)
 		r.offerCall(1, withNumber, func(o *Offered) { o.Redial = c.marked })
-		late := r.c.calls[r.id] == nil || r.c.calls[r.id].late // a late call without a way is refused
+		late := r.c.calls[r.id] == nil || r.c.calls[r.id].late // a late call that finds no route is refused
 		if late != c.late {
 			t.Errorf("%s: late %v, want %v", c.name, late, c.late)
 		}
 	}
 }
 
+// TestTimeOutsOfReplacedMachineAreIgnored: set-ups that a replaced machine left unanswered must not make its
+// successor unresponsive or loaded.
 func TestTimeOutsOfReplacedMachineAreIgnored(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	r.offerCall(1)
@@ -822,10 +877,12 @@
 	r.runSteps(1)
 	r.attemptEnded(1, "a:1", TimedOut, NoReason)
 	if exchange.unanswered > 0 || exchange.unresponsive || exchange.loadSamples > 0 {
-		t.Errorf("the new machine is charged with its predecessor: %d unanswered", exchange.unanswered)
+		t.Errorf("%d set-ups to the replaced machine count as unanswered by the new one", exchange.unanswered)
 	}
 }
 
+// TestStateStaysBoundedWhenMachinesAreReplaced: state of removed machines, ended calls and old numbers must
+// be dropped, or the memory of a controller grows for ever.
 func TestStateStaysBoundedWhenMachinesAreReplaced(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	for i := range 300 {
@@ -844,12 +901,12 @@
 		r.runSteps(1)
 	}
 	if n, m, k := len(r.c.byAddress), len(r.c.calls), len(r.c.numbers); n > 5 || m > 0 || k > 1 {
-		t.Errorf("%d addresses, %d calls, %d numbers kept", n, m, k)
+		t.Errorf("%d addresses, %d calls and %d numbers kept, want at most 5, 0 and 1", n, m, k)
 	}
 }
 
-// BenchmarkEvent shows how the cost of an event grows with the number of exchanges: held calls, and the changes of
-// trunk groups that come with each call.
+// BenchmarkHandle measures how the cost of an event grows with the number of exchanges: held calls, and the
+// updates of trunk groups that come with each call.
 func BenchmarkHandle(b *testing.B) {
 	for _, n := range []int{6, 80} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -887,6 +944,8 @@
 	}
 }
 
+// TestShortTimeOutsNotCountedAsUnanswered: an attempt whose caller leaves less time than an answer may take
+// shows nothing about the exchange. Attempts unanswered for the whole aim make it unresponsive.
 func TestShortTimeOutsNotCountedAsUnanswered(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	r.c.usualAnswerTime = 150 * ms
@@ -897,7 +956,7 @@
 		r.attemptEnded(r.id, "a:1", TimedOut, NoReason)
 	}
 	if exchange.unresponsive || exchange.unanswered > 0 || exchange.loadSum > 0 {
-		t.Errorf("hung-up callers read as silence: silent %v, load %v", exchange.unresponsive, exchange.loadSum)
+		t.Errorf("after four short time-outs: unresponsive %v, load %v, want false and 0", exchange.unresponsive, exchange.loadSum)
 	}
 	for range unresponsiveAfter {
 		r.offerCall(1)
@@ -905,10 +964,12 @@
 		r.attemptEnded(r.id, "a:1", TimedOut, NoReason)
 	}
 	if !exchange.unresponsive {
-		t.Error("set-ups without an answer for their whole aim are not silence")
+		t.Error("not unresponsive after unresponsiveAfter set-ups without an answer for their whole aim")
 	}
 }
 
+// TestProbeCallRateSharedByControllers: each controller probes an unresponsive exchange, so the interval
+// grows with their number to keep the sum within probeCallRate.
 func TestProbeCallRateSharedByControllers(t *testing.T) {
 	for _, controllers := range []int{4, 81} {
 		cfg := testConfig()
@@ -924,11 +985,13 @@
 			}
 		}
 		if all := float64(sent*(controllers-1)) / 20; sent < 2 || all > probeCallRate*1.25 {
-			t.Errorf("%d controllers: %d trials each, %v a second at the exchange", controllers, sent, all)
+			t.Errorf("%d controllers: %d probe calls each, %v per second in all, want at least 2 and at most 1.25*probeCallRate", controllers, sent, all)
 		}
 	}
 }
 
+// TestOneRecoveryAllowsProbeCallsToAllUnresponsive: the exchanges of a region recover together. Without this
+// the others would wait for their own probe interval, which is long where there are many controllers.
 func TestOneRecoveryAllowsProbeCallsToAllUnresponsive(t *testing.T) {
 	cfg := testConfig()
 	cfg.Controllers = 81
@@ -937,19 +1000,20 @@
 		r.c.exchanges[i].unresponsive, r.c.exchanges[i].nextProbeCall = true, r.now+r.c.probeCallInterval
 	}
 	if r.setUpTarget(r.offerCall(2)) != "" {
-		t.Fatal("a trial before its time")
+		t.Fatal("a probe call before its interval has passed")
 	}
 	r.advance(r.c.probeCallInterval)
 	r.offerCall(1)
 	r.c.exchanges[2].nextProbeCall = r.now + r.c.probeCallInterval
 	r.do(Established{Call: r.id, Exchange: "a:1", Delay: 80 * ms})
 	if r.setUpTarget(r.offerCall(2)) != "a:2" {
-		t.Error("one silent exchange is back, the other is not tried")
+		t.Error("an unresponsive exchange was not probed at once after another one responded")
 	}
 }
 
-// An exchange that grows slower and slower is cut and left out as tandem before its answers reach the aim, and gets
-// no flood when it is back cold.
+// TestSlowingExchangeLosesWindowBeforeAim: an exchange that becomes slower and slower loses its window and is
+// not used as tandem before its answers reach the aim. After its restart the cold budget bounds what it gets
+// at once.
 func TestSlowingExchangeLosesWindowBeforeAim(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	exchange := r.c.exchanges[2]
@@ -967,12 +1031,12 @@
 		r.runSteps(1)
 	}
 	if exchange.window >= window || r.c.lightlyLoaded(exchange) {
-		t.Errorf("window %v of %v, quick %v though answers take a second", exchange.window, window, r.c.lightlyLoaded(exchange))
+		t.Errorf("window %v of %v and lightly loaded %v, though answers take a second", exchange.window, window, r.c.lightlyLoaded(exchange))
 	}
 	r.reportFreeCircuits(1, 0)
 	for range 20 {
 		if at := r.setUpTarget(r.offerCall(1)); at == "a:2" {
-			t.Fatal("a tandem call went over the ageing exchange")
+			t.Fatal("the slow exchange was used as tandem")
 		} else if at != "" {
 			r.do(Established{Call: r.id, Exchange: at, Delay: 80 * ms})
 		}
@@ -986,11 +1050,13 @@
 		}
 	}
 	if budget := 1 + capacityMultiple*2*0.4*exchange.usualRate*3; float64(sent) > budget {
-		t.Errorf("%d set-ups at once to an exchange back cold, %v at most", sent, budget)
+		t.Errorf("%d set-ups at once to the restarted exchange, the limit is %v", sent, budget)
 	}
 }
 
-// A caller refused while a processor rests is told till when; one refused for want of a circuit is not kept away.
+// TestRefusalCarriesBackOffOfFullProcessor: callers refused while the processor of the destination backs off
+// are asked to stay away until its end. For a call refused for want of a circuit no end is known, so its
+// caller is not asked.
 func TestRefusalCarriesBackOffOfFullProcessor(t *testing.T) {
 	r := newHarness(t, testConfig(), 9)
 	r.offerCall(1)
@@ -1008,15 +1074,15 @@
 	r.reportFreeCircuits(2, 0)
 	collect(r.offerCall(2, func(o *Offered) { o.Transit = true }))
 	if len(waits) != 2 || waits[0] != 2500*ms || waits[1] != 0 {
-		t.Fatalf("told to stay away %v", waits)
+		t.Fatalf("Refuse.Wait of the two calls %v, want 2.5s and 0s", waits)
 	}
 }
 
-// What all answers always take is the way to the far ends, and no lateness of the own processor: where aims are short beside
-// it, the own window would stay shut after a cut.
+// TestBaseDelayNotCountedAsOwnLoad: what all answers always take is distance and no delay at the own
+// processor. Where aims are short compared with it, the own window would stay small after a cut.
 func TestBaseDelayNotCountedAsOwnLoad(t *testing.T) {
 	r := newHarness(t, testConfig(), 40)
-	baseDelay := 350 * ms // of a shortest aim of 1.2 s: more than half of what reads as full load
+	baseDelay := 350 * ms // more than half of fullLoadDelay, with a shortest aim of 1.2 s
 	play := func(delay time.Duration, steps int) {
 		for range steps {
 			var ids []uint64
@@ -1035,10 +1101,10 @@
 	}
 	play(baseDelay, 6)
 	if stepLoad := r.c.own.stepLoad; stepLoad > lowFull {
-		t.Fatalf("the own load reads %.2f of the way alone", stepLoad)
+		t.Fatalf("own load %.2f from the base delay alone, want Low", stepLoad)
 	}
 	play(baseDelay+300*ms, 2)
 	if stepLoad := r.c.own.stepLoad; stepLoad < mediumPeak/2 {
-		t.Fatalf("the own load reads %.2f when all answers come 300 ms later", stepLoad)
+		t.Fatalf("own load %.2f when all answers come 300 ms later, want at least half of Medium", stepLoad)
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/umbergauge/umbergauge/policy"
 )
 
-// A controller of exchange 0 that knows exchange 1 takes one call for it.
+// The controller of exchange 0 knows exchange 1 and is offered one call to it.
 func Example() {
 	ctl, err := policy.New(policy.Config{
 		Self: 0, Controllers: 2, MaxAttempts: 3, Guard: 200 * time.Millisecond,
