--- a/controller/controller.go
+++ b/controller/controller.go
@@ -495,12 +495,12 @@
 	}
 	c.tell(policy.List{Entries: entries})
 	for _, e := range entries {
-		c.port.ExchangeChanged(e, e.Launched > 0 && c.now < e.Launched+c.cfg.Policy.WarmUp)
+		c.port.ExchangeChanged(e, e.StartedAt > 0 && c.now < e.StartedAt+c.cfg.Policy.WarmUp)
 	}
 }
 
 func (f *far) entry() policy.Entry {
-	return policy.Entry{Address: f.Address, PointCode: int(f.PointCode), Health: f.health, Launched: f.launched}
+	return policy.Entry{Address: f.Address, PointCode: int(f.PointCode), Health: f.health, StartedAt: f.launched}
 }
 
 // Next is the time at which Tick is due, or ok is false.
@@ -910,11 +910,11 @@
 			health := policy.Ready
 			switch m.Kind {
 			case m3ua.DUNA:
-				health = policy.Gone
+				health = policy.Removed
 			case m3ua.DRST:
 				health = policy.Draining
 			}
-			if health == policy.Ready && f.health == policy.Gone && f.assoc == nil {
+			if health == policy.Ready && f.health == policy.Removed && f.assoc == nil {
 				f.doubt = true // whether it has started anew shows when it is reached
 			}
 			if health != f.health {
--- a/controller/phases_test.go
+++ b/controller/phases_test.go
@@ -106,7 +106,7 @@
 		if m := r.one(client, isup.REL); m.Cause != isup.CauseNoAnswer {
 			t.Errorf("%s: the caller is told %d", name, m.Cause)
 		}
-		if v := r.view(2); v.Silent || v.Load > 0 || r.c.Counters.NoAnswer != 1 || r.c.Counters.TimedOut != 0 {
+		if v := r.view(2); v.Unresponsive || v.Load > 0 || r.c.Counters.NoAnswer != 1 || r.c.Counters.TimedOut != 0 {
 			t.Errorf("%s: %+v %+v", name, v, r.c.Counters)
 		}
 	}
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -196,7 +196,7 @@
 			if v.Cold {
 				state += ", cold"
 			}
-			if v.Silent {
+			if v.Unresponsive {
 				state += ", silent"
 			}
 			if v.Address == "" {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -148,7 +148,7 @@
 }
 
 // healths maps the list's states.
-var healths = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone}
+var healths = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Removed}
 
 func (a *args) entries(i int) []policy.Entry {
 	v := a.value(i)
@@ -167,7 +167,7 @@
 				e.fail("unknown health %s", clip(e.text(4)))
 			}
 			entries = append(entries, policy.Entry{Address: e.text(5), PointCode: int(e.integer(6)), Health: health,
-				Launched: millis(e.number(1, 0))})
+				StartedAt: millis(e.number(1, 0))})
 		}
 		if e.err != nil {
 			a.fail("%s: %w", a.name, e.err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -223,7 +223,7 @@
 	a.arity(5)
 	ev := policy.Status{Exchange: a.text(2), OK: a.integer(3) == 0, Report: unknownReport}
 	if delay := a.ms(1); delay > 0 {
-		ev.Asked, ev.Delay = true, delay
+		ev.Solicited, ev.Delay = true, delay
 	}
 	if r := in.report(a, 4); r != nil {
 		ev.Report = *r
--- a/policy/api.go
+++ b/policy/api.go
@@ -48,9 +48,9 @@
 
 // The states of an exchange in the list.
 const (
-	Ready Health = iota
-	Draining
-	Gone
+	Ready    Health = iota // takes new calls
+	Draining               // takes no new calls, established calls go on
+	Removed                // no longer in service
 )
 
 // Entry is one exchange of the list. A machine that replaces another has a new Address and the same
@@ -59,7 +59,7 @@
 	Address   string
 	PointCode int
 	Health    Health
-	Launched  time.Duration // latest start; 0: long ago
+	StartedAt time.Duration // latest start; 0: long ago
 }
 
 // Report is a status report of an exchange. Values below zero are unknown.
@@ -161,11 +161,11 @@
 	// Status is a status report of an exchange, sent when its trunk group or its load has changed or as the
 	// answer to a probe. With the address of the own exchange, Report.Wait is the own queueing delay.
 	Status struct {
-		Exchange string
-		Asked    bool // it answers a probe
-		OK       bool
-		Delay    time.Duration
-		Report   Report
+		Exchange  string
+		Solicited bool // it answers a probe
+		OK        bool
+		Delay     time.Duration
+		Report    Report
 	}
 	// Timer means that a timer set by SetTimer has expired.
 	Timer struct{ ID uint64 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -48,7 +48,7 @@
 
 // entries returns the list of exchanges: 0 is the switch, the others belong to the controllers.
 func (f *coldStartFleet) entries() []Entry {
-	all := []Entry{{Address: f.address, Launched: f.startedAt}}
+	all := []Entry{{Address: f.address, StartedAt: f.startedAt}}
 	for i := range f.engine {
 		all = append(all, Entry{Address: fmt.Sprint("e:", i+1), PointCode: i + 1})
 	}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -312,7 +312,7 @@
 		exchange := c.exchanges[entry.PointCode]
 		if exchange == nil {
 			exchange = &exchangeState{pointCode: entry.PointCode, address: entry.Address,
-				health: entry.Health, startedAt: entry.Launched, slotTimeUntil: c.now,
+				health: entry.Health, startedAt: entry.StartedAt, slotTimeUntil: c.now,
 				crankbacks: map[int]crankbackRecord{}, lastTandem: -1, groupSize: -1,
 				initialWindow: max(minSlots, initialWindowTotal/float64(max(1, c.cfg.Controllers-1)))}
 			exchange.window = exchange.initialWindow
@@ -322,25 +322,25 @@
 			c.byPointCode = slices.Insert(c.byPointCode, index, exchange)
 		}
 		c.byAddress[entry.Address] = exchange
-		if entry.Health == Gone { // reports of a removed machine are ignored after this update
+		if entry.Health == Removed { // reports of a removed machine are ignored after this update
 			defer delete(c.byAddress, entry.Address)
 		}
-		listed[entry.PointCode] = listed[entry.PointCode] || entry.Health != Gone
+		listed[entry.PointCode] = listed[entry.PointCode] || entry.Health != Removed
 		switch {
 		case entry.Address == exchange.address:
 			exchange.health = entry.Health
-		case entry.Health == Ready && (exchange.health != Ready || entry.Launched >= exchange.startedAt):
+		case entry.Health == Ready && (exchange.health != Ready || entry.StartedAt >= exchange.startedAt):
 			exchange.address, exchange.health = entry.Address, Ready // another machine has replaced it
 		default:
 			continue
 		}
-		if entry.Health == Ready && entry.Launched > exchange.startedAt {
-			c.noteRestart(exchange, entry.Launched)
+		if entry.Health == Ready && entry.StartedAt > exchange.startedAt {
+			c.noteRestart(exchange, entry.StartedAt)
 		}
 	}
 	for _, exchange := range c.byPointCode {
 		if ev.Full && !listed[exchange.pointCode] {
-			exchange.health = Gone
+			exchange.health = Removed
 		}
 	}
 	c.retryHeld(nil)
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -225,13 +225,13 @@
 // TestDrainingAndRemovedExchangesGetNoSetUps: an exchange that drains, is removed or is missing from a full
 // list gets no set-ups; a machine that replaces it does.
 func TestDrainingAndRemovedExchangesGetNoSetUps(t *testing.T) {
-	for _, h := range []Health{Draining, Gone} {
+	for _, h := range []Health{Draining, Removed} {
 		r := newHarness(t, testConfig(), 20)
 		r.do(List{Entries: []Entry{{Address: "a:1", PointCode: 1, Health: h}}})
 		if acts := r.offerCall(1); countActions[SetUp](acts) != 0 || countActions[Refuse](acts) != 1 {
 			t.Errorf("health %d: %v, want one Refuse", h, acts)
 		}
-		r.do(List{Entries: []Entry{{Address: "b:1", PointCode: 1, Launched: r.now}}})
+		r.do(List{Entries: []Entry{{Address: "b:1", PointCode: 1, StartedAt: r.now}}})
 		if acts := r.offerCall(1); r.setUpTarget(acts) != "b:1" {
 			t.Errorf("health %d: %v after a replacement, want a set-up to it", h, acts)
 		}
@@ -251,7 +251,7 @@
 	exchange := r.c.exchanges[1]
 	exchange.usualRate, exchange.rateSteps, exchange.window = 4, 1e6, 100 // a rate that is known well
 	r.c.usualRate = 4
-	r.do(List{Entries: []Entry{{Address: "a:1", PointCode: 1, Launched: r.now}}})
+	r.do(List{Entries: []Entry{{Address: "a:1", PointCode: 1, StartedAt: r.now}}})
 	exchange.window = 100
 	limit := capacityMultiple * cfg.CrashMultiple * cfg.ColdShare * 4 * cfg.CrashSpan.Seconds()
 	var sends []time.Duration
@@ -871,7 +871,7 @@
 	r := newHarness(t, testConfig(), 20)
 	r.offerCall(1)
 	r.offerCall(2)
-	r.do(List{Entries: []Entry{{Address: "b:1", PointCode: 1, Launched: r.now}}})
+	r.do(List{Entries: []Entry{{Address: "b:1", PointCode: 1, StartedAt: r.now}}})
 	exchange := r.c.exchanges[1]
 	r.advance(1400 * ms)
 	r.runSteps(1)
@@ -887,11 +887,11 @@
 	r := newHarness(t, testConfig(), 20)
 	for i := range 300 {
 		at := fmt.Sprintf("m%d:1", i)
-		r.do(List{Entries: []Entry{{Address: at, PointCode: 1, Launched: r.now}}})
+		r.do(List{Entries: []Entry{{Address: at, PointCode: 1, StartedAt: r.now}}})
 		if i > 0 {
-			r.do(List{Entries: []Entry{{Address: fmt.Sprintf("m%d:1", i-1), PointCode: 1, Health: Gone}}})
+			r.do(List{Entries: []Entry{{Address: fmt.Sprintf("m%d:1", i-1), PointCode: 1, Health: Removed}}})
 		}
-		r.do(List{Entries: []Entry{{Address: "a:1", PointCode: 1, Health: Gone}}})
+		r.do(List{Entries: []Entry{{Address: "a:1", PointCode: 1, Health: Removed}}})
 		if to := r.setUpTarget(r.offerCall(1)); to != "" {
 			r.do(Established{Call: r.id, Exchange: to, Delay: 50 * ms})
 			r.do(AttemptEnded{Call: r.id, Exchange: to, Final: true, Cause: Completed})
@@ -1041,7 +1041,7 @@
 			r.do(Established{Call: r.id, Exchange: at, Delay: 80 * ms})
 		}
 	}
-	r.do(List{Entries: []Entry{{Address: "a:2", PointCode: 2, Launched: r.now}}})
+	r.do(List{Entries: []Entry{{Address: "a:2", PointCode: 2, StartedAt: r.now}}})
 	sent := 0
 	for range 60 {
 		if at := r.setUpTarget(r.offerCall(2)); at != "" {
