--- a/controller/controller.go
+++ b/controller/controller.go
@@ -508,12 +508,12 @@
 	}
 	c.dispatch(policy.List{Entries: entries})
 	for _, entry := range entries {
-		c.port.ExchangeChanged(entry, entry.Launched > 0 && c.now < entry.Launched+c.cfg.Policy.WarmUp)
+		c.port.ExchangeChanged(entry, entry.StartedAt > 0 && c.now < entry.StartedAt+c.cfg.Policy.WarmUp)
 	}
 }
 
 func (far *farExchange) entry() policy.Entry {
-	return policy.Entry{Address: far.Address, PointCode: int(far.PointCode), Health: far.health, Launched: far.launched}
+	return policy.Entry{Address: far.Address, PointCode: int(far.PointCode), Health: far.health, StartedAt: far.launched}
 }
 
 // Next returns the time at which Tick is due; false: no timer is set.
@@ -934,11 +934,11 @@
 			health := policy.Ready
 			switch message.Kind {
 			case m3ua.DUNA:
-				health = policy.Gone
+				health = policy.Removed
 			case m3ua.DRST:
 				health = policy.Draining
 			}
-			if health == policy.Ready && far.health == policy.Gone && far.association == nil {
+			if health == policy.Ready && far.health == policy.Removed && far.association == nil {
 				far.mayHaveRestarted = true // whether it has restarted is found out when it is reached
 			}
 			if health != far.health {
