--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts controllers on the simulator's wire: standard input and output.
+// Command simhost runs call controllers for the simulator, with which it communicates over standard input and output.
 package main
 
 import (
--- a/cmd/umbergauge/bench.go
+++ b/cmd/umbergauge/bench.go
@@ -18,7 +18,7 @@
 func benchCommand() *cobra.Command {
 	c := &cobra.Command{Use: "bench", Short: "Measure the program on this machine, on loopback with plain responders"}
 	var stop context.CancelFunc
-	// A measurement that is ended takes the controller that it started with it.
+	// The context ends on a signal, so that an interrupted measurement also stops the controller that it started.
 	c.PersistentPreRun = func(cmd *cobra.Command, _ []string) {
 		var ctx context.Context
 		ctx, stop = signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -33,7 +33,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if o.Exchanges < 2 || o.Exchanges > 200 || o.Window < 1 || o.Window > 4000 || o.Rate <= 0 || o.Rate > 1e5 || o.Span <= 0 {
-				return fmt.Errorf("2 to 200 exchanges, a window of 1 to 4000, a rate of up to 100000 and a positive span can be")
+				return fmt.Errorf("flags out of range: want 2 to 200 exchanges, a window of 1 to 4000, a rate above 0 and up to 100000, and a span above 0")
 			}
 			var err error
 			if o.Program, err = os.Executable(); err != nil {
@@ -41,7 +41,7 @@
 			}
 			res, err := bench.Run(cmd.Context(), o)
 			if err != nil {
-				return short{err}
+				return resultError{err}
 			}
 			w := cmd.OutOrStdout()
 			if asJSON {
@@ -74,40 +74,40 @@
 		Use: "relay LISTEN SWITCH...", Hidden: true, Args: cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error { return bench.Relay(cmd.Context(), args[0], args[1:]) },
 	}
-	var so bench.SoakOptions
+	var soakOptions bench.SoakOptions
 	soak := &cobra.Command{
 		Use:   "soak",
 		Short: "Run a controller under load with faults around it and sample its process",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if so.Exchanges < 3 || so.Exchanges > 100 || so.Rate <= 0 || so.Rate > 10000 || so.Span < 30*time.Second || so.Span > 24*time.Hour || so.Every < time.Second {
-				return fmt.Errorf("3 to 100 exchanges, a rate of up to 10000, a span of 30s to 24h and samples a second apart can be")
+			if soakOptions.Exchanges < 3 || soakOptions.Exchanges > 100 || soakOptions.Rate <= 0 || soakOptions.Rate > 10000 || soakOptions.Span < 30*time.Second || soakOptions.Span > 24*time.Hour || soakOptions.Every < time.Second {
+				return fmt.Errorf("flags out of range: want 3 to 100 exchanges, a rate above 0 and up to 10000, a span of 30s to 24h and samples at least 1s apart")
 			}
 			var err error
-			if so.Program, err = os.Executable(); err != nil {
+			if soakOptions.Program, err = os.Executable(); err != nil {
 				return err
 			}
-			res, err := bench.Soak(cmd.Context(), so, cmd.ErrOrStderr())
+			res, err := bench.Soak(cmd.Context(), soakOptions, cmd.ErrOrStderr())
 			if err != nil {
-				return short{err}
+				return resultError{err}
 			}
 			if asJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(res)
 			}
 			t := res.Load.Totals
 			fmt.Fprintf(cmd.OutOrStdout(), "%d faults; offered %d, tries %d: stood %d, refused %d, given up %d, cut %d\n", res.Faults, t.Offered, t.Tries, t.Answered, t.Refused, t.Abandoned, t.Cut)
-			q := res.Load.SetUpUS
-			fmt.Fprintf(cmd.OutOrStdout(), "set-up from when a call was due, stand-in switch included: p50 %d p99 %d p99.9 %d us\n", q.P50, q.P99, q.P999)
+			setUp := res.Load.SetUpUS
+			fmt.Fprintf(cmd.OutOrStdout(), "set-up from when a call was due, stand-in switch included: p50 %d p99 %d p99.9 %d us\n", setUp.P50, setUp.P99, setUp.P999)
 			return nil
 		},
 	}
 	f = soak.Flags()
-	f.DurationVar(&so.Span, "span", time.Hour, "how long")
-	f.DurationVar(&so.Every, "every", time.Minute, "between samples")
-	f.Float64Var(&so.Rate, "rate", 200, "calls a second")
-	f.IntVar(&so.Exchanges, "exchanges", 6, "exchanges, the own one included")
-	f.BoolVar(&so.NoFaults, "calm", false, "make no faults")
-	f.Uint64Var(&so.Seed, "seed", 1, "of load and faults")
+	f.DurationVar(&soakOptions.Span, "span", time.Hour, "how long")
+	f.DurationVar(&soakOptions.Every, "every", time.Minute, "between samples")
+	f.Float64Var(&soakOptions.Rate, "rate", 200, "calls a second")
+	f.IntVar(&soakOptions.Exchanges, "exchanges", 6, "exchanges, the own one included")
+	f.BoolVar(&soakOptions.NoFaults, "calm", false, "make no faults")
+	f.Uint64Var(&soakOptions.Seed, "seed", 1, "of load and faults")
 	f.BoolVar(&asJSON, "json", false, "print JSON")
 	var span time.Duration
 	var rate float64
@@ -119,7 +119,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if span < 8*time.Second || span > 10*time.Minute || rate <= 0 || rate > 10000 {
-				return fmt.Errorf("a span of 8s to 10m and a rate of up to 10000 can be")
+				return fmt.Errorf("flags out of range: want a span of 8s to 10m and a rate above 0 and up to 10000")
 			}
 			if program == "" {
 				var err error
@@ -139,7 +139,7 @@
 				}
 				res, err := bench.Open(cmd.Context(), program, x, cmd.ErrOrStderr())
 				if err != nil {
-					return short{err}
+					return resultError{err}
 				}
 				all = append(all, res)
 				if !asJSON {
--- a/cmd/umbergauge/capture.go
+++ b/cmd/umbergauge/capture.go
@@ -24,17 +24,17 @@
 				a, b uint32
 				cic  uint16
 			}
-			var rec load.Recorder
+			var recorder load.Recorder
 			var first time.Time
-			on := map[circuit]bool{} // circuits that carry a wanted call now
-			for _, f := range args {
-				err := capture.Read(f, func(x capture.Frame) error {
+			carrying := map[circuit]bool{} // circuits that carry a selected call at this point of the capture
+			for _, file := range args {
+				err := capture.Read(file, func(frame capture.Frame) error {
 					var m m3ua.Message
 					if first.IsZero() {
-						first = x.At
+						first = frame.At
 					}
-					if err := m3ua.Decode(x.Data, &m); err != nil {
-						fmt.Fprintf(cmd.OutOrStdout(), "%s %v > %v %v\n", x.At.Format("15:04:05.000000"), x.From, x.To, err)
+					if err := m3ua.Decode(frame.Data, &m); err != nil {
+						fmt.Fprintf(cmd.OutOrStdout(), "%s %v > %v %v\n", frame.At.Format("15:04:05.000000"), frame.From, frame.To, err)
 						return nil
 					}
 					text := m.Kind.String()
@@ -42,33 +42,33 @@
 					var u isup.Message
 					if m.Kind == m3ua.DATA && isup.Decode(m.Data.User, &u) == nil {
 						text = fmt.Sprintf("%d>%d circuit %d %v", m.Data.OPC, m.Data.DPC, u.CIC, u.Type)
-						if at := x.At.Sub(first) + 1; clients != "" && x.To.String() == clients {
-							rec.Message(at, x.From.String(), m.Data.OPC, &u)
-						} else if clients != "" && x.From.String() == clients {
-							rec.Message(at, x.To.String(), m.Data.DPC, &u)
+						if at := frame.At.Sub(first) + 1; clients != "" && frame.To.String() == clients {
+							recorder.Message(at, frame.From.String(), m.Data.OPC, &u)
+						} else if clients != "" && frame.From.String() == clients {
+							recorder.Message(at, frame.To.String(), m.Data.DPC, &u)
 						}
-						k := circuit{min(m.Data.OPC, m.Data.DPC), max(m.Data.OPC, m.Data.DPC), u.CIC}
+						key := circuit{min(m.Data.OPC, m.Data.DPC), max(m.Data.OPC, m.Data.DPC), u.CIC}
 						switch u.Type {
 						case isup.IAM:
 							ref := fmt.Sprintf("%d.%d", u.Ref.PC, u.Ref.ID)
 							text += fmt.Sprintf(" to %v, call %s", u.Called, ref)
-							on[k] = number != "" && strings.HasPrefix(u.Called.String(), number) || call != "" && call == ref
+							carrying[key] = number != "" && strings.HasPrefix(u.Called.String(), number) || call != "" && call == ref
 						case isup.REL:
 							text += fmt.Sprintf(" cause %d", u.Cause)
 						}
-						wanted = wanted || on[k]
+						wanted = wanted || carrying[key]
 					}
 					if wanted && clients == "" {
-						fmt.Fprintf(cmd.OutOrStdout(), "%s %v > %v %s\n", x.At.Format("15:04:05.000000"), x.From, x.To, text)
+						fmt.Fprintf(cmd.OutOrStdout(), "%s %v > %v %s\n", frame.At.Format("15:04:05.000000"), frame.From, frame.To, text)
 					}
 					return nil
 				})
 				if err != nil {
-					return short{err}
+					return resultError{err}
 				}
 			}
 			if clients != "" {
-				return rec.Write(cmd.OutOrStdout())
+				return recorder.Write(cmd.OutOrStdout())
 			}
 			return nil
 		},
--- a/cmd/umbergauge/day.go
+++ b/cmd/umbergauge/day.go
@@ -19,16 +19,16 @@
 	"github.com/umbergauge/umbergauge/scenario/baseline"
 )
 
-// Sockets and goroutines of a whole fleet on one machine are late now and then: what the checker allows for, and what
-// the controllers keep beyond the rule's guard.
+// A whole fleet on one machine has scheduling delays: checkSlack is what the checker allows for, guardMargin what the
+// controllers wait in addition to the guard of the rule.
 const (
-	slack  = 75 * time.Millisecond
-	margin = 50 * time.Millisecond
+	checkSlack  = 75 * time.Millisecond
+	guardMargin = 50 * time.Millisecond
 )
 
 func dayCommand() *cobra.Command {
 	var seed uint64
-	var asJSON, draw, plainly, verbose, silent bool
+	var asJSON, draw, useBaseline, verbose, noRinging bool
 	var kind, trace string
 	var scripts []string
 	c := &cobra.Command{
@@ -36,55 +36,55 @@
 		Short: "Play a scripted day through real controllers on loopback and judge it; without FILE the built-in bad day",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			d, err := pickDay(args, draw, seed, kind)
+			day, err := selectDay(args, draw, seed, kind)
 			if err != nil {
 				return err
 			}
 			if cmd.Flags().Changed("seed") {
-				d.Seed = seed
+				day.Seed = seed
 			}
 			if draw && len(args) == 0 && !cmd.Flags().Changed("play") {
-				b, err := yaml.Marshal(d)
+				b, err := yaml.Marshal(day)
 				if err != nil {
 					return err
 				}
 				_, err = cmd.OutOrStdout().Write(b)
 				return err
 			}
-			opt := scenario.Options{Log: zerolog.Nop(), Slack: slack, GuardMargin: margin}
+			opt := scenario.Options{Log: zerolog.Nop(), Slack: checkSlack, GuardMargin: guardMargin}
 			if verbose {
 				opt.Log = zerolog.New(zerolog.ConsoleWriter{Out: os.Stderr, TimeFormat: time.StampMilli}).With().Timestamp().Logger()
 			}
-			if opt.Hooks, err = sources(scripts); err != nil {
+			if opt.Hooks, err = readScripts(scripts); err != nil {
 				return err
 			}
-			if silent {
-				d = d.WithoutRinging()
+			if noRinging {
+				day = day.WithoutRinging()
 			}
-			if plainly {
+			if useBaseline {
 				opt.Engine = baseline.New
 			}
 			if !asJSON {
-				fmt.Fprintf(cmd.ErrOrStderr(), "playing %s, seed %d: %d exchanges, %v, %d troubles\n", d.Name, d.Seed, d.Network.Exchanges, d.Length, len(d.Faults))
+				fmt.Fprintf(cmd.ErrOrStderr(), "playing %s, seed %d: %d exchanges, %v, %d troubles\n", day.Name, day.Seed, day.Network.Exchanges, day.Length, len(day.Faults))
 			}
-			res, err := scenario.Run(cmd.Context(), d, opt)
+			res, err := scenario.Run(cmd.Context(), day, opt)
 			if err != nil {
-				return short{err}
+				return resultError{err}
 			}
 			if trace != "" {
 				traceCall(cmd.ErrOrStderr(), res.Record, trace)
 			}
 			if asJSON {
-				e := json.NewEncoder(cmd.OutOrStdout())
-				e.SetIndent("", "  ")
-				if err := e.Encode(res); err != nil {
+				encoder := json.NewEncoder(cmd.OutOrStdout())
+				encoder.SetIndent("", "  ")
+				if err := encoder.Encode(res); err != nil {
 					return err
 				}
 			} else {
-				report(cmd.OutOrStdout(), res)
+				printReport(cmd.OutOrStdout(), res)
 			}
-			if n := len(res.Report.Violations); n > 0 {
-				return fellShort("%d times a rule was broken", n)
+			if violations := len(res.Report.Violations); violations > 0 {
+				return resultErrorf("%d rule violations", violations)
 			}
 			return nil
 		},
@@ -95,15 +95,15 @@
 	f.BoolVar(&draw, "draw", false, "draw a day from the seed and print it (with --play: play it)")
 	f.StringVar(&kind, "kind", "trouble", "kind of the drawn day: quiet, trouble, overload or only:KIND")
 	f.Bool("play", false, "play the drawn day")
-	f.BoolVar(&plainly, "plain", false, "play it with plain direct-only routing, for comparison")
-	f.BoolVar(&silent, "no-ringing", false, "numbers answer at once and there are no thin faults")
+	f.BoolVar(&useBaseline, "plain", false, "play it with plain direct-only routing, for comparison")
+	f.BoolVar(&noRinging, "no-ringing", false, "numbers answer at once and there are no thin faults")
 	f.BoolVarP(&verbose, "verbose", "v", false, "show the controllers' logs")
 	f.StringSliceVar(&scripts, "hooks", nil, "scripts that every controller runs")
 	f.StringVar(&trace, "trace", "", "show the frames of the call REF (as findings name it)")
 	return c
 }
 
-func pickDay(args []string, draw bool, seed uint64, kind string) (*scenario.Scenario, error) {
+func selectDay(args []string, draw bool, seed uint64, kind string) (*scenario.Scenario, error) {
 	if draw {
 		if len(args) > 0 {
 			return nil, fmt.Errorf("--draw takes no file")
@@ -113,36 +113,36 @@
 	if len(args) == 0 {
 		return scenario.OverlappingFaults(), nil
 	}
-	if d := scenario.Builtin(args[0]); d != nil {
-		return d, nil
+	if day := scenario.Builtin(args[0]); day != nil {
+		return day, nil
 	}
-	d, err := scenario.Load(args[0])
+	day, err := scenario.Load(args[0])
 	if err != nil {
-		return nil, short{err}
+		return nil, resultError{err}
 	}
-	return d, nil
+	return day, nil
 }
 
-// traceCall shows the IAMs of a call and all that happened on their circuits.
+// traceCall prints the IAMs of a call and all messages on their circuits.
 func traceCall(w io.Writer, rec record.Recording, call string) {
 	type circuit struct {
 		a, b uint32
 		cic  uint16
 	}
-	on := map[circuit]bool{}
+	carrying := map[circuit]bool{}
 	check.Trace(io.Discard, rec, func(_ record.Link, m *m3ua.Message, u *isup.Message) bool {
 		if u != nil && u.Type == isup.IAM && fmt.Sprintf("%d.%d", u.Ref.PC, u.Ref.ID) == call {
-			on[circuit{m.Data.OPC, m.Data.DPC, u.CIC}] = true
-			on[circuit{m.Data.DPC, m.Data.OPC, u.CIC}] = true
+			carrying[circuit{m.Data.OPC, m.Data.DPC, u.CIC}] = true
+			carrying[circuit{m.Data.DPC, m.Data.OPC, u.CIC}] = true
 		}
 		return false
 	})
 	check.Trace(w, rec, func(_ record.Link, m *m3ua.Message, u *isup.Message) bool {
-		return u != nil && on[circuit{m.Data.OPC, m.Data.DPC, u.CIC}]
+		return u != nil && carrying[circuit{m.Data.OPC, m.Data.DPC, u.CIC}]
 	})
 }
 
-func report(w io.Writer, res scenario.Result) {
+func printReport(w io.Writer, res scenario.Result) {
 	r := res.Report
 	fmt.Fprintf(w, "%s, seed %d (on loopback, with stand-in switches and clients)\n\n", res.Name, res.Seed)
 	fmt.Fprintf(w, "service         %6.3f of %d calls' worth\n", r.Whole.Share, r.Whole.Calls)
--- a/cmd/umbergauge/load.go
+++ b/cmd/umbergauge/load.go
@@ -30,15 +30,15 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := load.Load(file)
 			if err != nil {
-				return short{err}
+				return resultError{err}
 			}
 			if part != "" {
 				var i, n int
 				if _, err := fmt.Sscanf(part, "%d/%d", &i, &n); err != nil {
-					return fmt.Errorf("--part %q is not of the form 0/4", part)
+					return fmt.Errorf("--part %q: want I/N, for example 0/4", part)
 				}
 				if cfg, err = cfg.Part(i, n); err != nil {
-					return short{err}
+					return resultError{err}
 				}
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -47,33 +47,33 @@
 			if !quiet {
 				o.Progress = cmd.ErrOrStderr()
 			}
-			var rep load.Report
+			var report load.Report
 			if processes > 1 {
-				rep, err = loadProcesses(ctx, cfg, file, processes)
+				report, err = loadProcesses(ctx, cfg, file, processes)
 			} else {
-				rep, err = load.Run(ctx, cfg, o)
+				report, err = load.Run(ctx, cfg, o)
 			}
 			if err != nil {
-				return short{err}
+				return resultError{err}
 			}
 			if part == "" {
-				rep.Histograms = nil // only those who merge read them
+				report.Histograms = nil // only needed to merge the reports of parts
 			}
 			w := cmd.OutOrStdout()
 			if asJSON {
-				e := json.NewEncoder(w)
-				e.SetIndent("", "  ")
-				return e.Encode(rep)
+				encoder := json.NewEncoder(w)
+				encoder.SetIndent("", "  ")
+				return encoder.Encode(report)
 			}
-			t := rep.Totals
-			fmt.Fprintf(w, "offered %d (%.1f a second), tries %d: rang %d, stood %d, refused %d, given up %d, left while it rang %d\n", t.Offered, rep.OfferedPerSecond, t.Tries, t.Alerted, t.Answered, t.Refused, t.Abandoned, t.AbandonedRinging)
+			t := report.Totals
+			fmt.Fprintf(w, "offered %d (%.1f a second), tries %d: rang %d, stood %d, refused %d, given up %d, left while it rang %d\n", t.Offered, report.OfferedPerSecond, t.Tries, t.Alerted, t.Answered, t.Refused, t.Abandoned, t.AbandonedRinging)
 			fmt.Fprintf(w, "of those that stood: finished %d, cut %d; congestion told %d times; not connected %d, no circuit %d\n", t.Finished, t.Cut, t.CongestionReports, t.NotConnected, t.NoCircuit)
 			for _, k := range slices.Sorted(maps.Keys(t.Causes)) {
 				fmt.Fprintf(w, "  cause %-4s %d\n", k, t.Causes[k])
 			}
-			fmt.Fprintf(w, "set-up (to ACM) from when the call was due: p50 %d p90 %d p99 %d p99.9 %d max %d us\n", rep.SetUpUS.P50, rep.SetUpUS.P90, rep.SetUpUS.P99, rep.SetUpUS.P999, rep.SetUpUS.Max)
-			fmt.Fprintf(w, "answer from when the call was due: p50 %d p90 %d p99 %d us\n", rep.AnswerUS.P50, rep.AnswerUS.P90, rep.AnswerUS.P99)
-			fmt.Fprintf(w, "own lateness: p99 %d max %d us\n", rep.LateUS.P99, rep.LateUS.Max)
+			fmt.Fprintf(w, "set-up (to ACM) from when the call was due: p50 %d p90 %d p99 %d p99.9 %d max %d us\n", report.SetUpUS.P50, report.SetUpUS.P90, report.SetUpUS.P99, report.SetUpUS.P999, report.SetUpUS.Max)
+			fmt.Fprintf(w, "answer from when the call was due: p50 %d p90 %d p99 %d us\n", report.AnswerUS.P50, report.AnswerUS.P90, report.AnswerUS.P99)
+			fmt.Fprintf(w, "own lateness: p99 %d max %d us\n", report.LateUS.P99, report.LateUS.Max)
 			return nil
 		},
 	}
@@ -87,7 +87,7 @@
 	return c
 }
 
-// loadProcesses offers a load from several processes and merges their reports. One that fails ends the others.
+// loadProcesses offers a load from n processes and merges their reports. If one fails, the others are stopped.
 func loadProcesses(ctx context.Context, cfg *load.Config, file string, n int) (load.Report, error) {
 	if _, err := cfg.Part(0, n); err != nil {
 		return load.Report{}, err
--- a/cmd/umbergauge/main.go
+++ b/cmd/umbergauge/main.go
@@ -1,4 +1,4 @@
-// Command umbergauge is a call router: it sets up calls over trunk groups. README.md has its commands.
+// Command umbergauge is a call router: it sets up calls over trunk groups. README.md lists its subcommands.
 package main
 
 import (
@@ -12,15 +12,16 @@
 
 // Exit codes.
 const (
-	exitGood  = 0
-	exitShort = 1 // the thing checked or played fell short
-	exitUse   = 2 // wrong use
+	exitOK     = 0
+	exitFailed = 1 // the operation failed, or what was checked is at fault
+	exitUsage  = 2 // wrong command line
 )
 
-// short is an error about the thing checked or played, not about the command line.
-type short struct{ error }
+// resultError is an error of the operation itself, such as invalid settings or a violated rule, not of the command line.
+type resultError struct{ error }
 
-func fellShort(format string, args ...any) error { return short{fmt.Errorf(format, args...)} }
+// resultErrorf returns a resultError with a formatted text.
+func resultErrorf(format string, args ...any) error { return resultError{fmt.Errorf(format, args...)} }
 
 func root() *cobra.Command {
 	c := &cobra.Command{
@@ -30,24 +31,24 @@
 		SilenceErrors: true,
 		Version:       version(),
 		Args:          cobra.NoArgs,
-		// Without a Run of its own cobra shows help and calls an unknown command good.
+		// Without a RunE, cobra prints help and returns no error for an unknown command.
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return errors.New("a command is missing; --help lists them")
+			return errors.New("missing command; --help lists the commands")
 		},
 	}
 	c.AddCommand(runCommand(), checkCommand(), dayCommand(), scriptCommand(), loadCommand(), switchCommand(), captureCommand(), benchCommand())
-	for _, sub := range c.Commands() { // groups of commands too
+	for _, sub := range c.Commands() { // the same for groups of subcommands
 		if sub.HasSubCommands() && !sub.Runnable() {
 			sub.Args = cobra.NoArgs
 			sub.RunE = func(cmd *cobra.Command, _ []string) error {
-				return fmt.Errorf("%s: a command is missing; --help lists them", cmd.Name())
+				return fmt.Errorf("%s: missing command; --help lists the commands", cmd.Name())
 			}
 		}
 	}
 	return c
 }
 
-// version is the commit and the Go version that the program was built from, as far as the build noted them.
+// version returns the commit and the Go version of the build, as far as the build information has them.
 func version() string {
 	b, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -68,12 +69,12 @@
 func main() {
 	err := root().Execute()
 	if err == nil {
-		os.Exit(exitGood)
+		os.Exit(exitOK)
 	}
 	fmt.Fprintln(os.Stderr, "umbergauge:", err)
-	var s short
-	if errors.As(err, &s) {
-		os.Exit(exitShort)
+	var failed resultError
+	if errors.As(err, &failed) {
+		os.Exit(exitFailed)
 	}
-	os.Exit(exitUse)
+	os.Exit(exitUsage)
 }
--- a/cmd/umbergauge/main_test.go
+++ b/cmd/umbergauge/main_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// Wrong use is an error that is not a shortfall, so that main ends with 2; each is one line.
-func TestWrongUse(t *testing.T) {
+// A wrong command line must give an error that is no resultError, so that the exit code is 2, in one line and without other
+// output.
+func TestWrongUsageIsAOneLineUsageError(t *testing.T) {
 	for _, args := range [][]string{{}, {"frob"}, {"bench"}, {"bench", "frob"}, {"script", "frob"}, {"run"}, {"day", "--frob"}, {"bench", "open", "--span", "1s"}} {
 		c := root()
 		var out bytes.Buffer
@@ -18,13 +19,13 @@
 		c.SetErr(&out)
 		c.SetArgs(args)
 		err := c.Execute()
-		if err == nil || errors.As(err, new(short)) || strings.Contains(err.Error(), "\n") || out.Len() > 0 {
+		if err == nil || errors.As(err, new(resultError)) || strings.Contains(err.Error(), "\n") || out.Len() > 0 {
 			t.Errorf("%q: %v, printed %q", args, err, out.String())
 		}
 	}
 }
 
-func TestVersion(t *testing.T) {
+func TestVersionFlagPrintsTheGoVersion(t *testing.T) {
 	c := root()
 	var out bytes.Buffer
 	c.SetOut(&out)
@@ -34,8 +35,9 @@
 	}
 }
 
-// The files of the first run are good, and a bad one ends with 1.
-func TestFirstRun(t *testing.T) {
+// The settings of the first-run guide must pass the check. Faulty settings must give a resultError, so that the exit code is 1,
+// and it must name every fault.
+func TestCheckAcceptsTheFirstRunFilesAndReportsEveryFault(t *testing.T) {
 	dir := filepath.Join("..", "..", "docs", "operations", "first")
 	check := func(path string) error {
 		c := root()
@@ -56,7 +58,7 @@
 		t.Fatal(err)
 	}
 	err = check(path)
-	if !errors.As(err, new(short)) || !strings.Contains(err.Error(), ":3:9: listen: ") || !strings.Contains(err.Error(), "classes[0].patience: 1s is under the aim") {
+	if !errors.As(err, new(resultError)) || !strings.Contains(err.Error(), ":3:9: listen: ") || !strings.Contains(err.Error(), "classes[0].patience: 1s is under the aim") {
 		t.Errorf("%v", err)
 	}
 }
--- a/cmd/umbergauge/run.go
+++ b/cmd/umbergauge/run.go
@@ -18,11 +18,11 @@
 	"github.com/umbergauge/umbergauge/internal/config"
 )
 
-func logger(l config.Log, w io.Writer) zerolog.Logger {
-	if l.Format == "console" {
+func logger(settings config.Log, w io.Writer) zerolog.Logger {
+	if settings.Format == "console" {
 		w = zerolog.ConsoleWriter{Out: w, TimeFormat: time.StampMilli}
 	}
-	level, err := zerolog.ParseLevel(l.Level)
+	level, err := zerolog.ParseLevel(settings.Level)
 	if err != nil {
 		level = zerolog.InfoLevel
 	}
@@ -44,29 +44,29 @@
 			}
 			cfg, err := config.Load(file)
 			if err != nil {
-				return short{err}
+				return resultError{err}
 			}
 			log := logger(cfg.Log, cmd.ErrOrStderr())
 			o := daemon.Options{Config: cfg, Log: log}
-			var capt *capture.Writer
+			var captureWriter *capture.Writer
 			if captureDir != "" {
-				if capt, err = capture.New(capture.Config{Dir: captureDir, Bytes: captureBytes, Files: captureFiles, Queue: 8192}); err != nil {
-					return short{err}
+				if captureWriter, err = capture.New(capture.Config{Dir: captureDir, Bytes: captureBytes, Files: captureFiles, Queue: 8192}); err != nil {
+					return resultError{err}
 				}
-				o.Capture = capt.Put
+				o.Capture = captureWriter.Put
 			}
 			d, err := daemon.New(o)
 			if err != nil {
-				return short{err}
+				return resultError{err}
 			}
 			if profile != "" {
 				f, err := os.Create(profile)
 				if err != nil {
-					return short{err}
+					return resultError{err}
 				}
 				defer f.Close()
 				if err := pprof.StartCPUProfile(f); err != nil {
-					return short{err}
+					return resultError{err}
 				}
 				defer pprof.StopCPUProfile()
 			}
@@ -75,45 +75,45 @@
 			signals := make(chan os.Signal, 4)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 			defer signal.Stop(signals)
-			if capt != nil {
-				cctx, stop := context.WithCancel(context.Background())
+			if captureWriter != nil {
+				captureCtx, stop := context.WithCancel(context.Background())
 				ended := make(chan struct{})
 				go func() {
 					defer close(ended)
-					if err := capt.Run(cctx); err != nil {
-						log.Error().Err(err).Msg("capture ended")
+					if err := captureWriter.Run(captureCtx); err != nil {
+						log.Error().Err(err).Msg("writing the capture failed")
 					}
 				}()
-				defer func() { // after the daemon, so that its last frames are in it
+				defer func() { // after the daemon has ended, so that its last frames are captured
 					stop()
 					<-ended
-					log.Info().Uint64("frames", capt.Written()).Uint64("left_out", capt.Dropped()).Msg("captured")
+					log.Info().Uint64("frames", captureWriter.Written()).Uint64("left_out", captureWriter.Dropped()).Msg("capture finished")
 				}()
 			}
 			done := make(chan error, 1)
 			go func() { done <- d.Run(ctx) }()
-			terms := 0
+			terminations := 0
 			for {
 				select {
 				case err := <-done:
 					if err != nil {
-						return short{err}
+						return resultError{err}
 					}
 					return nil
 				case s := <-signals:
 					if s == syscall.SIGHUP {
 						if next, err := config.Load(file); err != nil {
-							log.Error().Err(err).Msg("reload refused, all stays as it was")
+							log.Error().Err(err).Msg("reload failed, keeping the current settings")
 						} else if err := d.Reload(ctx, next); err != nil {
-							log.Error().Err(err).Msg("reload refused, all stays as it was")
+							log.Error().Err(err).Msg("reload failed, keeping the current settings")
 						} else if err := d.LoadHooks(ctx, next.Hooks.Files, next.Hooks.Examples, false); err != nil {
-							log.Error().Err(err).Msg("scripts refused, the old ones stay")
+							log.Error().Err(err).Msg("loading hook scripts failed, keeping the current ones")
 						} else {
-							log.Info().Msg("reloaded")
+							log.Info().Msg("settings reloaded")
 						}
 						continue
 					}
-					if terms++; terms > 1 { // asked twice: at once
+					if terminations++; terminations > 1 { // a second signal ends the daemon at once
 						cancel()
 					}
 					d.Drain()
@@ -142,7 +142,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := config.Load(file)
 			if err != nil {
-				return short{err}
+				return resultError{err}
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: exchange %d, %d exchanges, %d classes\n", file, cfg.Exchange, len(cfg.Exchanges), len(cfg.Classes))
 			return nil
--- a/cmd/umbergauge/switch.go
+++ b/cmd/umbergauge/switch.go
@@ -22,31 +22,31 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := switchset.Load(file)
 			if err != nil {
-				return short{err}
+				return resultError{err}
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			s, err := switchset.Start(cfg)
+			switches, err := switchset.Start(cfg)
 			if err != nil {
-				return short{err}
+				return resultError{err}
 			}
-			defer s.Close()
+			defer switches.Close()
 			for _, x := range cfg.Switches {
-				fmt.Fprintf(cmd.OutOrStdout(), "switch %d at %s\n", x.PointCode, s.Addrs[x.PointCode])
+				fmt.Fprintf(cmd.OutOrStdout(), "switch %d at %s\n", x.PointCode, switches.Addrs[x.PointCode])
 			}
-			tick := time.NewTicker(5 * time.Second)
-			defer tick.Stop()
+			ticker := time.NewTicker(5 * time.Second)
+			defer ticker.Stop()
 			last := ""
 			for {
 				select {
 				case <-ctx.Done():
 					return nil
-				case <-tick.C:
+				case <-ticker.C:
 				}
 				var b strings.Builder
-				pcs, n := s.Established()
-				for i, pc := range pcs {
-					fmt.Fprintf(&b, " %d:%d", pc, n[i])
+				pointCodes, established := switches.Established()
+				for i, pc := range pointCodes {
+					fmt.Fprintf(&b, " %d:%d", pc, established[i])
 				}
 				if line := b.String(); !quiet && line != last {
 					last = line
--- a/daemon/connect.go
+++ b/daemon/connect.go
@@ -17,26 +17,27 @@
 	"github.com/umbergauge/umbergauge/m3ua"
 )
 
-// peers knows the clients of the settings and which exchanges have a connector.
+// peers holds the clients of the settings, and which exchanges have a connector, the goroutine that keeps them connected.
 type peers struct {
-	mu        sync.Mutex
-	cfg       *config.Config
-	connected map[uint32]bool
+	mu           sync.Mutex
+	cfg          *config.Config
+	hasConnector map[uint32]bool
 }
 
-// admit names a client by its ASP identifier; with clients in the settings, others are turned away.
-func (p *peers) admit(l *link, asp uint32) bool {
+// identify sets the name, tenant and traffic mode of a client from its ASP identifier; false: the settings list clients, and
+// this one is not among them.
+func (p *peers) identify(a *association, asp uint32) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l.peer.Name = fmt.Sprint(asp)
+	a.peer.Name = fmt.Sprint(asp)
 	i := slices.IndexFunc(p.cfg.Clients, func(c config.Client) bool { return c.Has(asp) })
 	if i < 0 {
 		return len(p.cfg.Clients) == 0
 	}
-	x := &p.cfg.Clients[i]
-	l.peer.Name, l.peer.Tenant = x.Name, p.cfg.Tenant(x.Tenant)
-	if len(x.Associations) > 0 {
-		l.peer.Server, l.peer.Mode = x.Name, config.TrafficModes[x.Mode]
+	client := &p.cfg.Clients[i]
+	a.peer.Name, a.peer.Tenant = client.Name, p.cfg.Tenant(client.Tenant)
+	if len(client.Associations) > 0 {
+		a.peer.Server, a.peer.Mode = client.Name, config.TrafficModes[client.Mode]
 	}
 	return true
 }
@@ -46,68 +47,68 @@
 	d.peers.mu.Lock()
 	defer d.peers.mu.Unlock()
 	d.peers.cfg = d.cfg
-	if d.peers.connected == nil {
-		d.peers.connected = map[uint32]bool{}
+	if d.peers.hasConnector == nil {
+		d.peers.hasConnector = map[uint32]bool{}
 	}
 	for _, x := range d.cfg.Exchanges {
-		if d.peers.connected[x.PointCode] {
+		if d.peers.hasConnector[x.PointCode] {
 			continue
 		}
-		d.peers.connected[x.PointCode] = true
-		d.own(func() { d.connect(ctx, x) })
+		d.peers.hasConnector[x.PointCode] = true
+		d.spawn(func() { d.connect(ctx, x) })
 	}
 }
 
-// connect keeps an association to a switch, trying its addresses in turn.
+// connect keeps an association to a switch up, trying its addresses in turn.
 func (d *Daemon) connect(ctx context.Context, x config.Exchange) {
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = d.cfg.Association.BackoffMin, d.cfg.Association.BackoffMax
-	for i := 0; ctx.Err() == nil; {
-		addr := x.Switch[i%len(x.Switch)]
-		dctx, cancel := context.WithTimeout(ctx, d.cfg.Association.DialLimit)
-		conn, err := d.dial(dctx, addr)
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval = d.cfg.Association.BackoffMin, d.cfg.Association.BackoffMax
+	for addrIndex := 0; ctx.Err() == nil; {
+		addr := x.Switch[addrIndex%len(x.Switch)]
+		dialCtx, cancel := context.WithTimeout(ctx, d.cfg.Association.DialLimit)
+		conn, err := d.dial(dialCtx, addr)
 		cancel()
 		if err != nil {
-			i++
+			addrIndex++
 			select {
 			case d.events <- event{kind: evUnreachable, pc: x.PointCode}:
 			case <-ctx.Done():
 				return
 			}
 		} else {
-			p := controller.Peer{Kind: controller.FarSwitch, PC: x.PointCode, Address: addr, Name: x.Name}
+			peer := controller.Peer{Kind: controller.FarSwitch, PC: x.PointCode, Address: addr, Name: x.Name}
 			if x.PointCode == d.cfg.Exchange {
-				p.Kind = controller.OwnSwitch
+				peer.Kind = controller.OwnSwitch
 			}
-			since := time.Now()
-			l := d.newLink(conn, p, m3ua.NewASP(d.cfg.M3UA(), d.cfg.Exchange, d.cfg.Exchange, d.now()))
-			l.run(ctx)
-			if time.Since(since) > d.cfg.Association.BackoffMax { // it was well for a while: begin with short waits again
-				wait.Reset()
+			connectedAt := time.Now()
+			a := d.newAssociation(conn, peer, m3ua.NewASP(d.cfg.M3UA(), d.cfg.Exchange, d.cfg.Exchange, d.now()))
+			a.run(ctx)
+			if time.Since(connectedAt) > d.cfg.Association.BackoffMax { // it was up for some time: restart the back-off at its minimum
+				retry.Reset()
 			}
 		}
 		select {
-		case <-time.After(wait.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// accept takes clients.
+// accept accepts connections of clients up to the limits of the settings.
 func (d *Daemon) accept(ctx context.Context) {
-	// A storm of connections is spread by those who are turned away and try again.
+	// Limits the rate of new connections. In a connection storm the clients turned away try again later, which spreads the load.
 	handshakes := rate.NewLimiter(rate.Limit(d.cfg.Limits.Handshakes), max(1, int(d.cfg.Limits.Handshakes)))
-	taskgroup.Accept(ctx, d.listener, func(err error) { d.log.Error().Err(err).Msg("accept") }, func(conn net.Conn) {
+	taskgroup.Accept(ctx, d.clientListener, func(err error) { d.log.Error().Err(err).Msg("accept") }, func(conn net.Conn) {
 		if int(d.clients.Add(1)) > d.cfg.Limits.Clients || !handshakes.Allow() {
 			d.clients.Add(-1)
 			d.metrics.turnedAway.Inc()
 			conn.Close()
 			return
 		}
-		l := d.newLink(conn, controller.Peer{Kind: controller.Client, Name: conn.RemoteAddr().String()}, m3ua.NewSGP(d.cfg.M3UA(), d.now()))
-		d.own(func() {
+		a := d.newAssociation(conn, controller.Peer{Kind: controller.Client, Name: conn.RemoteAddr().String()}, m3ua.NewSGP(d.cfg.M3UA(), d.now()))
+		d.spawn(func() {
 			defer d.clients.Add(-1)
-			l.run(ctx)
+			a.run(ctx)
 		})
 	})
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon runs a call controller on sockets. One goroutine owns the controller; every association has a reader
-// and a writer, which hand it events through one bounded queue and take its frames from bounded ones. All that is
-// decided is decided in package controller and below.
+// Package daemon runs a call controller on sockets. One goroutine, the event loop, owns the controller. Every association has
+// a reader, which posts events to the loop through one bounded queue, and a writer with a bounded send queue. All routing
+// decisions are made in package controller and the packages below it.
 package daemon
 
 import (
@@ -24,82 +24,82 @@
 	"github.com/umbergauge/umbergauge/script"
 )
 
-// Options are the settings and what the daemon reaches the world by.
+// Options are the settings of a daemon and its access to network and captures.
 type Options struct {
 	Config *config.Config
 	Log    zerolog.Logger
-	// Dial and Listen default to TCP; tests hand in pipes.
+	// Dial and Listen default to TCP; tests pass an in-memory network.
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Listen func(addr string) (net.Listener, error)
-	Engine func(policy.Config) (controller.Engine, error) // for comparisons only; nil: policy.New
-	// Capture, if set, is given every frame of every association; it must not wait.
+	Engine func(policy.Config) (controller.Engine, error) // replaces the routing engine for comparisons; nil: policy.New
+	// Capture, if set, is called with every frame of every association; it must not block.
 	Capture func(at time.Time, from, to net.Addr, frame []byte)
 }
 
-// Daemon is one call controller on sockets.
+// Daemon is a call controller with its sockets.
 type Daemon struct {
-	cfg     *config.Config
-	log     zerolog.Logger
-	odd     *oddLog
-	dial    func(ctx context.Context, addr string) (net.Conn, error)
-	start   time.Time
-	core    *controller.Core
-	events  chan event
-	links   map[controller.AssocID]*link // of the decision goroutine
-	touched []*link
-	lost    *link // that goes down now
-	nextID  atomic.Uint32
-	clients atomic.Int32 // connections of clients
-	group   taskgroup.Group
-	metrics *metrics
-	hooks   *hookRunner
-	capture func(at time.Time, from, to net.Addr, frame []byte)
-
-	listener, control net.Listener
-	metricsAt         net.Listener
-	listen            func(addr string) (net.Listener, error)
+	cfg          *config.Config
+	log          zerolog.Logger
+	callLog      *callLogger
+	dial         func(ctx context.Context, addr string) (net.Conn, error)
+	start        time.Time
+	core         *controller.Core
+	events       chan event
+	associations map[controller.AssocID]*association // owned by the event loop
+	wakePending  []*association                      // whose writers have to be woken
+	goingDown    *association                        // the association whose loss is being handled
+	nextID       atomic.Uint32
+	clients      atomic.Int32 // open connections of clients
+	group        taskgroup.Group
+	metrics      *metrics
+	hooks        *hookRunner
+	capture      func(at time.Time, from, to net.Addr, frame []byte)
+
+	clientListener, controlListener net.Listener
+	metricsListener                 net.Listener
+	listen                          func(addr string) (net.Listener, error)
 
 	drain     chan struct{}
 	drainOnce sync.Once
 	peers     peers
-	running   context.Context // of Run, for what a reload starts
-	msg       m3ua.Message
+	runCtx    context.Context // the context of Run, for connectors that a reload starts
+	decoded   m3ua.Message
 }
 
 type eventKind uint8
 
 const (
-	evFrames eventKind = iota
-	evUp
-	evDown
-	evUnreachable
-	evCall
-	evAdvice
+	evFrames      eventKind = iota // a batch of frames was read
+	evUp                           // an association became active
+	evDown                         // an association was lost
+	evUnreachable                  // dialling a switch of an exchange failed
+	evFunc                         // a function to run in the event loop
+	evAdvice                       // the result of a hook request
 )
 
 type event struct {
-	kind   eventKind
-	link   *link
-	batch  *[]byte
-	pc     uint32 // of an exchange; of advice the question's number
-	id     uint64 // of a call
-	call   func()
-	advice *hooks.Advice
-	at     time.Duration // of frames: when they were read
+	kind        eventKind
+	association *association
+	batch       *[]byte
+	pc          uint32 // point code of an exchange; with evAdvice the number of the request
+	id          uint64 // of a call
+	fn          func()
+	advice      *hooks.Advice
+	readAt      time.Duration // with evFrames: when the frames were read
 }
 
-// base is added to the time since the start: the module takes 0 for long ago.
-const base = time.Hour
+// clockOffset is added to the time since the start, because the routing engine takes the time 0 as "long ago".
+const clockOffset = time.Hour
 
-func (d *Daemon) now() time.Duration { return base + time.Since(d.start) }
+func (d *Daemon) now() time.Duration { return clockOffset + time.Since(d.start) }
 
-// New makes a daemon and opens its listeners, so that their addresses are known before Run.
+// New creates a daemon and opens its listeners, so that their addresses are known before Run.
 func New(o Options) (*Daemon, error) {
 	d := &Daemon{cfg: o.Config, log: o.Log, dial: o.Dial, listen: o.Listen, start: time.Now(), capture: o.Capture,
-		events: make(chan event, o.Config.Limits.Events), links: map[controller.AssocID]*link{}, drain: make(chan struct{})}
+		events: make(chan event, o.Config.Limits.Events), associations: map[controller.AssocID]*association{}, drain: make(chan struct{})}
 	if d.dial == nil {
-		var nd net.Dialer
-		d.dial = func(ctx context.Context, addr string) (net.Conn, error) { return nd.DialContext(ctx, "tcp", addr) }
+		var dialer net.Dialer
+		d.dial = func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) }
 	}
 	if d.listen == nil {
 		d.listen = func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
@@ -108,15 +108,15 @@
 		d.metrics.panics.Inc()
 		d.log.Error().Str("where", where).Interface("panic", r).Bytes("stack", stack).Msg("panic caught")
 	}
-	d.odd = &oddLog{log: o.Log, cfg: o.Config, limit: rate.NewLimiter(20, 50)}
+	d.callLog = &callLogger{log: o.Log, cfg: o.Config, limit: rate.NewLimiter(20, 50)}
 	d.metrics = newMetrics(d)
 	d.hooks = newHookRunner(d)
 	if len(o.Config.Hooks.Files) > 0 {
-		s, err := d.hooks.read(o.Config.Hooks.Files, o.Config.Hooks.Examples, nil)
+		set, err := d.hooks.readFiles(o.Config.Hooks.Files, o.Config.Hooks.Examples, nil)
 		if err != nil {
 			return nil, err
 		}
-		d.hooks.book.Activate(s)
+		d.hooks.registry.Activate(set)
 	}
 	var err error
 	core := o.Config.Controller()
@@ -127,7 +127,7 @@
 	for _, l := range []struct {
 		what, addr string
 		to         *net.Listener
-	}{{"listen", o.Config.Listen, &d.listener}, {"control", o.Config.Control, &d.control}, {"metrics", o.Config.Metrics, &d.metricsAt}} {
+	}{{"listen", o.Config.Listen, &d.clientListener}, {"control", o.Config.Control, &d.controlListener}, {"metrics", o.Config.Metrics, &d.metricsListener}} {
 		if l.addr == "" {
 			continue
 		}
@@ -140,71 +140,72 @@
 }
 
 func (d *Daemon) closeListeners() {
-	for _, l := range []net.Listener{d.listener, d.control, d.metricsAt} {
+	for _, l := range []net.Listener{d.clientListener, d.controlListener, d.metricsListener} {
 		if l != nil {
 			l.Close()
 		}
 	}
 }
 
-// Addr is where clients connect.
-func (d *Daemon) Addr() string { return d.listener.Addr().String() }
+// Addr returns the address where clients connect.
+func (d *Daemon) Addr() string { return d.clientListener.Addr().String() }
 
-// ControlAddr is the address of the control port, or empty.
+// ControlAddr returns the address of the control port; empty: there is none.
 func (d *Daemon) ControlAddr() string {
-	if d.control == nil {
+	if d.controlListener == nil {
 		return ""
 	}
-	return d.control.Addr().String()
+	return d.controlListener.Addr().String()
 }
 
-// MetricsAddr is where metrics are served, or empty.
+// MetricsAddr returns the address where metrics are served; empty: there is none.
 func (d *Daemon) MetricsAddr() string {
-	if d.metricsAt == nil {
+	if d.metricsListener == nil {
 		return ""
 	}
-	return d.metricsAt.Addr().String()
+	return d.metricsListener.Addr().String()
 }
 
-// Drain begins an orderly end: no new calls, open ones get their answers, standing ones may end until the limit of the
-// settings. Run returns when it is done.
+// Drain begins an orderly shutdown: new calls are refused, pending ones get their final answer, and established ones may go on
+// until the drain limit of the settings. Run returns when the drain is done.
 func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.drain) }) }
 
-// Run works until ctx ends, which cuts everything off, or a drain is done. It returns when all its goroutines have.
+// Run serves until a drain is done, or until ctx ends, which closes all connections at once. It returns when all goroutines
+// of the daemon have ended.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
-	d.running = ctx
+	d.runCtx = ctx
 	defer d.group.Wait()
 	defer cancel()
 	defer d.closeListeners()
 	d.log.Info().Uint32("exchange", d.cfg.Exchange).Str("listen", d.Addr()).Msg("started")
 	d.connectAll(ctx)
 	for range d.cfg.Hooks.Workers {
-		d.own(func() { d.hooks.work(ctx) })
+		d.spawn(func() { d.hooks.work(ctx) })
 	}
-	d.own(func() { d.hooks.tick(ctx) })
-	d.own(func() { d.accept(ctx) })
-	if d.control != nil {
-		d.own(func() { d.serveControl(ctx) })
+	d.spawn(func() { d.hooks.runPeriodic(ctx) })
+	d.spawn(func() { d.accept(ctx) })
+	if d.controlListener != nil {
+		d.spawn(func() { d.serveControl(ctx) })
 	}
-	if d.metricsAt != nil {
-		d.own(func() { d.serveMetrics(ctx) })
+	if d.metricsListener != nil {
+		d.spawn(func() { d.serveMetrics(ctx) })
 	}
 	err := d.loop(ctx)
-	for _, l := range d.links {
-		l.close("the daemon ends")
+	for _, a := range d.associations {
+		a.close("daemon shutting down")
 	}
 	d.log.Info().Msg("ended")
 	return err
 }
 
-// own starts a goroutine that Run waits for.
-func (d *Daemon) own(f func()) { d.group.Go(f) }
+// spawn runs f in a goroutine that Run waits for.
+func (d *Daemon) spawn(f func()) { d.group.Go(f) }
 
-// maxBatch bounds the events handled before timers run and writers are woken.
-const maxBatch = 256
+// maxEventsPerTurn limits the events handled before timers run and writers are woken.
+const maxEventsPerTurn = 256
 
-// loop is the decision goroutine.
+// loop is the event loop.
 func (d *Daemon) loop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -226,7 +227,7 @@
 			d.log.Info().Int("open", d.core.Open()).Msg("draining")
 		case ev := <-d.events:
 			d.handle(ctx, ev)
-			for n := 1; n < maxBatch; n++ {
+			for n := 1; n < maxEventsPerTurn; n++ {
 				select {
 				case ev := <-d.events:
 					d.handle(ctx, ev)
@@ -237,7 +238,7 @@
 			}
 		case <-timer.C:
 		}
-		d.guarded("timers", nil, func() {
+		d.runRecovered("timers", nil, func() {
 			d.core.Tick(d.now())
 			d.core.Flush(d.now())
 		})
@@ -249,7 +250,7 @@
 			}
 			if open == 0 {
 				d.wakeWriters()
-				d.farewell(ctx)
+				d.finishAssociations(ctx)
 				return nil
 			}
 		}
@@ -257,16 +258,16 @@
 	}
 }
 
-// farewell lets the writers send what is queued, and says ASPDN.
-func (d *Daemon) farewell(ctx context.Context) {
-	for _, l := range d.links {
-		l.finish()
+// finishAssociations lets every writer send what is queued and then ASPDN, and waits for the writers up to the write limit.
+func (d *Daemon) finishAssociations(ctx context.Context) {
+	for _, a := range d.associations {
+		a.finish()
 	}
 	ctx, cancel := context.WithTimeout(ctx, d.cfg.Association.WriteLimit)
 	defer cancel()
-	for _, l := range d.links {
+	for _, a := range d.associations {
 		select {
-		case <-l.flushed:
+		case <-a.writerDone:
 		case <-ctx.Done():
 			return
 		}
@@ -274,72 +275,72 @@
 }
 
 func (d *Daemon) wakeWriters() {
-	for _, l := range d.touched {
-		l.touched = false
-		l.box.Notify()
+	for _, a := range d.wakePending {
+		a.wakePending = false
+		a.queue.Notify()
 	}
-	d.touched = d.touched[:0]
+	d.wakePending = d.wakePending[:0]
 }
 
-// guarded runs f of the decision goroutine; a panic costs the link it came by, if any, and not the daemon.
-func (d *Daemon) guarded(where string, l *link, f func()) {
-	if !d.group.RunRecovered(where, f) && l != nil {
-		l.close("panic")
+// runRecovered runs f in the event loop. A panic closes the association whose event caused it, if any; the daemon goes on.
+func (d *Daemon) runRecovered(where string, a *association, f func()) {
+	if !d.group.RunRecovered(where, f) && a != nil {
+		a.close("panic")
 	}
 }
 
 func (d *Daemon) handle(ctx context.Context, ev event) {
-	l := ev.link
+	a := ev.association
 	switch ev.kind {
 	case evUp:
-		d.links[l.id] = l
-		d.log.Info().Stringer("peer", l).Msg("association active")
-		d.guarded("up", l, func() { d.core.AssocUp(d.now(), l.id, l.peer) })
+		d.associations[a.id] = a
+		d.log.Info().Stringer("peer", a).Msg("association active")
+		d.runRecovered("up", a, func() { d.core.AssocUp(d.now(), a.id, a.peer) })
 	case evDown:
-		if d.links[l.id] == l {
-			delete(d.links, l.id)
-			d.lost = l // for what it has not sent
-			d.log.Warn().Stringer("peer", l).Str("why", l.box.Reason()).Msg("association down")
-			d.guarded("down", nil, func() { d.core.AssocDown(d.now(), l.id) })
-			d.lost = nil
+		if d.associations[a.id] == a {
+			delete(d.associations, a.id)
+			d.goingDown = a // Unsent returns its unsent frames
+			d.log.Warn().Stringer("peer", a).Str("why", a.queue.Reason()).Msg("association down")
+			d.runRecovered("down", nil, func() { d.core.AssocDown(d.now(), a.id) })
+			d.goingDown = nil
 		}
 	case evUnreachable:
 		d.core.Unreachable(d.now(), ev.pc)
-	case evCall:
-		d.guarded("call", nil, ev.call)
+	case evFunc:
+		d.runRecovered("call", nil, ev.fn)
 	case evAdvice:
-		d.guarded("advice", nil, func() { d.core.Advise(d.now(), ev.id, ev.pc, ev.advice) })
+		d.runRecovered("advice", nil, func() { d.core.Advise(d.now(), ev.id, ev.pc, ev.advice) })
 	case evFrames:
-		d.core.RecordQueueDelay(d.now()-ev.at, 1)
-		d.guarded("frames", l, func() { d.frames(l, *ev.batch) })
-		batches.Put(ev.batch)
+		d.core.RecordQueueDelay(d.now()-ev.readAt, 1)
+		d.runRecovered("frames", a, func() { d.handleFrames(a, *ev.batch) })
+		batchPool.Put(ev.batch)
 	}
 }
 
-// frames hands the messages of a batch to the controller.
-func (d *Daemon) frames(l *link, b []byte) {
+// handleFrames passes the messages of a batch to the controller.
+func (d *Daemon) handleFrames(a *association, batch []byte) {
 	now := d.now()
-	for len(b) >= m3ua.HeaderLen {
-		n, err := m3ua.Length(b)
-		if err != nil || n > len(b) { // the reader cuts batches between frames
-			panic("a batch that is no sequence of frames")
+	for len(batch) >= m3ua.HeaderLen {
+		length, err := m3ua.Length(batch)
+		if err != nil || length > len(batch) { // cannot happen: the reader puts only whole frames into a batch
+			panic("batch does not consist of whole frames")
 		}
-		if err := m3ua.Decode(b[:n], &d.msg); err != nil {
-			l.malformed(err)
+		if err := m3ua.Decode(batch[:length], &d.decoded); err != nil {
+			a.malformedFrame(err)
 		} else {
-			d.core.Handle(now, l.id, &d.msg)
+			d.core.Handle(now, a.id, &d.decoded)
 		}
-		b = b[n:]
+		batch = batch[length:]
 	}
 }
 
-// do runs f in the decision goroutine and waits for it; every wait has an end.
-func (d *Daemon) do(ctx context.Context, f func()) error {
+// onLoop runs f in the event loop and waits for it, at most 2 s.
+func (d *Daemon) onLoop(ctx context.Context, f func()) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	done := make(chan struct{})
 	select {
-	case d.events <- event{kind: evCall, call: func() { defer close(done); f() }}:
+	case d.events <- event{kind: evFunc, fn: func() { defer close(done); f() }}:
 	case <-ctx.Done():
 		return errors.New("the controller is too busy")
 	}
@@ -351,41 +352,41 @@
 	}
 }
 
-// Ready tells whether the own switch is reached and every trunk group is in agreement with its far end.
+// Ready reports whether the own switch is connected and every trunk group is in sync with its far end.
 func (d *Daemon) Ready(ctx context.Context) bool {
 	ready := false
-	if d.do(ctx, func() { ready = d.core.Ready() }) != nil {
+	if d.onLoop(ctx, func() { ready = d.core.Ready() }) != nil {
 		return false
 	}
 	return ready
 }
 
-// Counters are the controller's totals.
+// Counters returns the controller's totals; zero if the event loop does not answer in time.
 func (d *Daemon) Counters(ctx context.Context) (c controller.Counters) {
-	d.do(ctx, func() { c = d.core.Counters })
+	d.onLoop(ctx, func() { c = d.core.Counters })
 	return c
 }
 
-// Stall stops the decision goroutine for a while, as a stopped process would: for days that play it.
+// Stall blocks the event loop for span, as if the process were stopped; scenarios inject the fault with it.
 func (d *Daemon) Stall(ctx context.Context, span time.Duration) {
 	select {
-	case d.events <- event{kind: evCall, call: func() { time.Sleep(span) }}:
+	case d.events <- event{kind: evFunc, fn: func() { time.Sleep(span) }}:
 	case <-ctx.Done():
 	}
 }
 
-// Reload takes changed settings: names, prefixes and further exchanges. The error names what cannot be
-// changed; then all stays as it was.
+// Reload applies changed settings: names, prefixes and additional exchanges. If the settings change anything else, the error
+// names it and nothing is applied.
 func (d *Daemon) Reload(ctx context.Context, cfg *config.Config) error {
 	var err error
-	if e := d.do(ctx, func() {
+	if e := d.onLoop(ctx, func() {
 		if cfg.Exchange != d.cfg.Exchange {
-			err = errors.New("the own point code changes only with a new start")
+			err = errors.New("a change of the own point code needs a restart")
 			return
 		}
 		if err = d.core.Reload(d.now(), cfg.ExchangeList()); err == nil {
 			d.cfg.Exchanges = cfg.Exchanges
-			d.connectAll(d.running)
+			d.connectAll(d.runCtx)
 		}
 	}); e != nil {
 		return e
@@ -393,65 +394,65 @@
 	return err
 }
 
-// port is the controller's way to the links.
+// port implements controller.Port on the daemon's associations.
 type port struct{ d *Daemon }
 
-func (p port) Send(a controller.AssocID, frame []byte) bool {
-	l := p.d.links[a]
-	if l == nil || !l.box.Put(frame) {
+func (p port) Send(assocID controller.AssocID, frame []byte) bool {
+	a := p.d.associations[assocID]
+	if a == nil || !a.queue.Put(frame) {
 		return false
 	}
-	if !l.touched {
-		l.touched = true
-		p.d.touched = append(p.d.touched, l)
+	if !a.wakePending {
+		a.wakePending = true
+		p.d.wakePending = append(p.d.wakePending, a)
 	}
 	return true
 }
 
-func (p port) Close(a controller.AssocID, why string) {
-	if l := p.d.links[a]; l != nil {
-		l.close(why)
+func (p port) Close(assocID controller.AssocID, why string) {
+	if a := p.d.associations[assocID]; a != nil {
+		a.close(why)
 	}
 }
 
-// Unsent ends the link too: its writer takes nothing more from what is queued.
-func (p port) Unsent(a controller.AssocID) []byte {
-	l := p.d.links[a]
-	if l == nil {
-		l = p.d.lost
+// Unsent also closes the association, so that its writer sends none of the frames returned here.
+func (p port) Unsent(assocID controller.AssocID) []byte {
+	a := p.d.associations[assocID]
+	if a == nil {
+		a = p.d.goingDown
 	}
-	if l == nil || l.id != a {
+	if a == nil || a.id != assocID {
 		return nil
 	}
-	l.close("another association has its traffic")
-	return l.box.Unsent()
+	a.close("its traffic moved to another association")
+	return a.queue.Unsent()
 }
 
-func (p port) CallEnded(e controller.CallRecord) {
-	p.d.metrics.ended(e)
-	if e.Set.Has(script.Final) {
-		if p.d.hooks.post(hookJob{final: &e}) {
+func (p port) CallEnded(call controller.CallRecord) {
+	p.d.metrics.recordEnd(call)
+	if call.Set.Has(script.Final) {
+		if p.d.hooks.post(hookJob{final: &call}) {
 			return
 		}
-		e.Set.CountTimeout(script.Final)
+		call.Set.CountTimeout(script.Final)
 	}
-	p.d.odd.line(e, nil)
+	p.d.callLog.record(call, nil)
 }
 
-// oddLog writes a line for each call that ends oddly or that hooks have a word on, but no more than a reader can take in a
-// storm.
-type oddLog struct {
+// callLogger logs each call that is refused, failed or cut, or for which final hooks give tags or log fields. The rate is
+// limited; suppressed counts the calls left out since the last line.
+type callLogger struct {
 	log        zerolog.Logger
 	cfg        *config.Config
 	limit      *rate.Limiter
 	suppressed atomic.Int64
 }
 
-// line logs the end of a call, with what its final hooks made of it, if there were any.
-func (o *oddLog) line(e controller.CallRecord, a *hooks.Advice) {
+// record logs the end of a call, with the tags and log fields of its final hooks; advice is nil if none ran.
+func (o *callLogger) record(call controller.CallRecord, advice *hooks.Advice) {
 	switch {
-	case e.Outcome == controller.Failed, e.Outcome == controller.Cut, e.Outcome == controller.Refused:
-	case a != nil && len(a.Tags)+len(a.Logs) > 0:
+	case call.Outcome == controller.Failed, call.Outcome == controller.Cut, call.Outcome == controller.Refused:
+	case advice != nil && len(advice.Tags)+len(advice.Logs) > 0:
 	default:
 		return
 	}
@@ -460,24 +461,24 @@
 		return
 	}
 	class := ""
-	if e.Class < len(o.cfg.Classes) {
-		class = o.cfg.Classes[e.Class].Name
-	}
-	line := o.log.Info().Stringer("outcome", e.Outcome).Uint64("call", e.Call).Str("class", class).Bool("transit", e.Transit).
-		Stringer("called", e.Called).Uint32("to", e.To).Uint32("via", e.Via).Int("attempts", e.Attempts).
-		Uint8("cause", uint8(e.Cause)).Dur("after", e.After)
-	tags := e.Tags
-	if a != nil {
-		tags = append(tags[:len(tags):len(tags)], a.Tags...)
-		for _, p := range a.Logs {
-			line = line.Str("x_"+p.Key, p.Value) // apart from the daemon's own fields
+	if call.Class < len(o.cfg.Classes) {
+		class = o.cfg.Classes[call.Class].Name
+	}
+	record := o.log.Info().Stringer("outcome", call.Outcome).Uint64("call", call.Call).Str("class", class).Bool("transit", call.Transit).
+		Stringer("called", call.Called).Uint32("to", call.To).Uint32("via", call.Via).Int("attempts", call.Attempts).
+		Uint8("cause", uint8(call.Cause)).Dur("after", call.After)
+	tags := call.Tags
+	if advice != nil {
+		tags = append(tags[:len(tags):len(tags)], advice.Tags...)
+		for _, field := range advice.Logs {
+			record = record.Str("x_"+field.Key, field.Value) // the prefix keeps hooks' keys apart from the daemon's
 		}
 	}
 	if len(tags) > 0 {
-		line = line.Strs("tags", tags)
+		record = record.Strs("tags", tags)
 	}
 	if n := o.suppressed.Swap(0); n > 0 {
-		line = line.Int64("suppressed", n)
+		record = record.Int64("suppressed", n)
 	}
-	line.Msg("call")
+	record.Msg("call")
 }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -29,8 +29,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a daemon of exchange 1 with its own switch and that of exchange 2.
-type rig struct {
+// testbed is a daemon of exchange 1 with its own emulated switch and that of exchange 2.
+type testbed struct {
 	t        *testing.T
 	net      *emulator.Network
 	switches []*emulator.Switch
@@ -40,25 +40,25 @@
 	log      bytes.Buffer
 }
 
-type world struct {
+type transport struct {
 	dial   func(ctx context.Context, addr string) (net.Conn, error)
 	listen func(addr string) (net.Listener, error)
 }
 
-func memory() world {
+func memoryTransport() transport {
 	n := &memnet.Network{}
-	return world{n.Dial, n.Listen}
+	return transport{n.Dial, n.Listen}
 }
 
-func tcp() world {
+func tcpTransport() transport {
 	var d net.Dialer
-	return world{func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) },
+	return transport{func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) },
 		func(a string) (net.Listener, error) { return net.Listen("tcp", a) }}
 }
 
-func newRig(t *testing.T, w world, change func(*config.Config, *Options)) *rig {
+func newTestbed(t *testing.T, network transport, change func(*config.Config, *Options)) *testbed {
 	t.Helper()
-	r := &rig{t: t, net: &emulator.Network{Dial: w.dial, Listen: w.listen, Log: record.New()}, done: make(chan error, 1)}
+	r := &testbed{t: t, net: &emulator.Network{Dial: network.dial, Listen: network.listen, Log: record.New()}, done: make(chan error, 1)}
 	c := config.Default()
 	c.Exchange, c.Listen = 1, "127.0.0.1:0"
 	c.Classes = []config.Class{{Name: "a", Aim: 1500 * time.Millisecond, Patience: 3 * time.Second, Worth: 1}}
@@ -78,11 +78,11 @@
 		}
 		c.Exchanges = append(c.Exchanges, x)
 	}
-	o := Options{Config: &c, Log: zerolog.New(zerolog.SyncWriter(&r.log)), Dial: w.dial, Listen: w.listen}
+	o := Options{Config: &c, Log: zerolog.New(zerolog.SyncWriter(&r.log)), Dial: network.dial, Listen: network.listen}
 	if change != nil {
 		change(&c, &o)
 	}
-	if err := c.Check("rig"); err != nil {
+	if err := c.Check("testbed"); err != nil {
 		t.Fatal(err)
 	}
 	d, err := New(o)
@@ -93,12 +93,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
 	go func() { r.done <- d.Run(ctx) }()
-	r.until("ready", func() bool { return d.Ready(ctx) })
+	r.waitUntil("ready", func() bool { return d.Ready(ctx) })
 	return r
 }
 
-// until waits for something that comes about by itself.
-func (r *rig) until(what string, f func() bool) {
+// waitUntil polls f until it is true, for 20 s at most.
+func (r *testbed) waitUntil(what string, f func() bool) {
 	r.t.Helper()
 	for range 1000 {
 		if f() {
@@ -106,10 +106,10 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	r.t.Fatalf("waited in vain for: %s", what)
+	r.t.Fatalf("condition not met within 20 s: %s", what)
 }
 
-func (r *rig) close() {
+func (r *testbed) close() {
 	r.cancel()
 	<-r.done
 	for _, s := range r.switches {
@@ -117,20 +117,20 @@
 	}
 }
 
-func (r *rig) client(pc uint32) *emulator.Client {
+func (r *testbed) newClient(pc uint32) *emulator.Client {
 	c := emulator.NewClient(r.net, emulator.ClientConfig{PC: pc, Controller: 1, Addr: r.d.Addr(), Seed: 1})
-	r.until("client connected", c.Connected)
+	r.waitUntil("client connected", c.Connected)
 	return c
 }
 
-func (r *rig) counters() controller.Counters { return r.d.Counters(context.Background()) }
+func (r *testbed) counters() controller.Counters { return r.d.Counters(context.Background()) }
 
-func call(hold time.Duration) emulator.Call {
+func testCall(hold time.Duration) emulator.Call {
 	return emulator.Call{Calling: "9001", Called: "2001", Category: isup.CategoryOrdinary, Hold: hold, Patience: 3 * time.Second}
 }
 
-// raw connects as a client by hand.
-func (r *rig) raw(asp uint32) net.Conn {
+// dialRaw connects as a client with ASP identifier asp, without an emulated client.
+func (r *testbed) dialRaw(asp uint32) net.Conn {
 	r.t.Helper()
 	c, err := r.net.Dial(context.Background(), r.d.Addr())
 	if err != nil {
@@ -141,25 +141,25 @@
 	return c
 }
 
-func (r *rig) frame(cic uint16, called string) []byte {
+func (r *testbed) iamFrame(cic uint16, called string) []byte {
 	n, _ := isup.ParseNumber(4, called)
 	return m3ua.Append(nil, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: 900, DPC: 1, SI: 5,
 		User: isup.Append(nil, &isup.Message{Type: isup.IAM, CIC: cic, Category: isup.CategoryOrdinary, Called: n})}})
 }
 
-// closed tells whether the far end ends a connection, reading away what still comes.
-func (r *rig) closed(c net.Conn, within time.Duration) bool {
+// closedByPeer reports whether the far end closes a connection within a time, discarding what it still sends.
+func (r *testbed) closedByPeer(c net.Conn, within time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(within))
 	_, err := io.Copy(io.Discard, c)
 	return err == nil || !strings.Contains(err.Error(), "deadline") && !strings.Contains(err.Error(), "timeout")
 }
 
-// A call through real sockets on loopback, then an orderly end.
-func TestCallOverSockets(t *testing.T) {
-	r := newRig(t, tcp(), nil)
-	c := r.client(900)
-	c.Offer(call(50 * time.Millisecond))
-	r.until("the call is finished", func() bool { return r.counters().Finished == 1 })
+// Guards the whole path over real sockets: a call over TCP on loopback is set up and released, and a drain then ends Run.
+func TestCallOverLoopbackTCPIsSetUpAndReleased(t *testing.T) {
+	r := newTestbed(t, tcpTransport(), nil)
+	c := r.newClient(900)
+	c.Offer(testCall(50 * time.Millisecond))
+	r.waitUntil("the call is finished", func() bool { return r.counters().Finished == 1 })
 	if k := r.counters(); k.Established != 1 || k.Offered != 1 {
 		t.Errorf("%+v", k)
 	}
@@ -172,22 +172,23 @@
 	r.close()
 }
 
-func TestDrain(t *testing.T) {
+// A drain must refuse new calls, let established ones end, and release the rest at the drain limit of 5 s.
+func TestDrainRefusesNewCallsAndCutsOpenOnesAtTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, memory(), nil)
-		c := r.client(900)
-		c.Offer(call(2 * time.Second))
-		c.Offer(call(time.Hour))
-		r.until("two stand", func() bool { return r.counters().Established == 2 })
+		r := newTestbed(t, memoryTransport(), nil)
+		c := r.newClient(900)
+		c.Offer(testCall(2 * time.Second))
+		c.Offer(testCall(time.Hour))
+		r.waitUntil("two calls established", func() bool { return r.counters().Established == 2 })
 		begin := time.Now()
 		r.d.Drain()
 		time.Sleep(100 * time.Millisecond)
-		c.Offer(call(time.Second))
+		c.Offer(testCall(time.Second))
 		if err := <-r.done; err != nil {
 			t.Error(err)
 		}
 		if d := time.Since(begin); d < 5*time.Second || d > 6*time.Second {
-			t.Errorf("it took %v; the limit is 5 s", d)
+			t.Errorf("drain took %v; the drain limit is 5 s", d)
 		}
 		time.Sleep(time.Second)
 		if k := c.Totals(); k.Answered != 2 || k.Refused != 1 || k.Cut != 1 {
@@ -199,103 +200,105 @@
 	})
 }
 
-// bomb is a module that panics when a certain number is called.
-type bomb struct{ controller.Engine }
+// panickingEngine is a routing engine that panics on calls to numbers ending in 666.
+type panickingEngine struct{ controller.Engine }
 
-func (b bomb) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
+func (b panickingEngine) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
 	if o, ok := ev.(policy.Offered); ok && strings.HasSuffix(o.Number, "666") {
-		panic("the number of the beast")
+		panic("panic on a number ending in 666")
 	}
 	return b.Engine.Handle(now, ev, out)
 }
 
-// A panic that a client's frame sets off costs that client its connection, and nobody else anything.
-func TestPanicCostsItsLink(t *testing.T) {
+// A panic caused by a client's frame must close only that client's association and be logged; other calls go on.
+func TestPanicOnAFrameClosesOnlyItsAssociation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, memory(), func(_ *config.Config, o *Options) {
+		r := newTestbed(t, memoryTransport(), func(_ *config.Config, o *Options) {
 			o.Engine = func(c policy.Config) (controller.Engine, error) {
 				m, err := policy.New(c)
-				return bomb{m}, err
+				return panickingEngine{m}, err
 			}
 		})
-		good := r.client(900)
-		bad := r.raw(901)
+		good := r.newClient(900)
+		bad := r.dialRaw(901)
 		time.Sleep(100 * time.Millisecond)
-		bad.Write(r.frame(1, "2666"))
-		if !r.closed(bad, 2*time.Second) {
-			t.Error("the connection that brought the panic is kept")
+		bad.Write(r.iamFrame(1, "2666"))
+		if !r.closedByPeer(bad, 2*time.Second) {
+			t.Error("the connection whose frame caused the panic is still open")
 		}
-		good.Offer(call(time.Second))
-		r.until("the other's call stands", func() bool { return r.counters().Established == 1 })
-		if !strings.Contains(r.log.String(), "number of the beast") {
-			t.Error("nothing in the log")
+		good.Offer(testCall(time.Second))
+		r.waitUntil("the other client's call is established", func() bool { return r.counters().Established == 1 })
+		if !strings.Contains(r.log.String(), "panic on a number ending in 666") {
+			t.Error("the log does not show the panic")
 		}
 		good.Close()
 		r.close()
 	})
 }
 
-// Peers that cost only themselves: endless partial frames, floods of malformed ones, a length that lies, nothing at all.
-func TestBadPeers(t *testing.T) {
+// A peer that sends a partial frame, many malformed frames, a frame with a false length, or nothing at all must lose its
+// connection without effect on other clients.
+func TestBadPeersAreDisconnectedAndOthersServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, memory(), nil)
-		good := r.client(900)
+		r := newTestbed(t, memoryTransport(), nil)
+		good := r.newClient(900)
 		for name, f := range map[string]func(net.Conn){
-			"partial frame": func(c net.Conn) { c.Write(r.frame(1, "2001")[:30]) },
+			"partial frame": func(c net.Conn) { c.Write(r.iamFrame(1, "2001")[:30]) },
 			"malformed": func(c net.Conn) {
-				b := r.frame(1, "2001")
+				b := r.iamFrame(1, "2001")
 				b[len(b)-1], b[13] = 9, 0xff // a parameter longer than the frame
 				for range 200 {
 					c.Write(b)
 				}
 			},
-			"length that lies": func(c net.Conn) { c.Write([]byte{1, 0, 1, 1, 0xff, 0xff, 0xff, 0xff}) },
-			"silence":          func(c net.Conn) {},
+			"false length": func(c net.Conn) { c.Write([]byte{1, 0, 1, 1, 0xff, 0xff, 0xff, 0xff}) },
+			"silence":      func(c net.Conn) {},
 		} {
-			c := r.raw(901)
+			c := r.dialRaw(901)
 			f(c)
-			if !r.closed(c, 10*time.Second) {
-				t.Errorf("%s: the connection is kept", name)
+			if !r.closedByPeer(c, 10*time.Second) {
+				t.Errorf("%s: the connection is still open", name)
 			}
 			c.Close()
 		}
-		c, _ := r.net.Dial(context.Background(), r.d.Addr()) // never says ASPUP
-		if !r.closed(c, 10*time.Second) {
-			t.Error("a peer that never says ASPUP is kept")
+		c, _ := r.net.Dial(context.Background(), r.d.Addr()) // never sends ASPUP
+		if !r.closedByPeer(c, 10*time.Second) {
+			t.Error("the connection of a peer that never sends ASPUP is still open")
 		}
-		good.Offer(call(time.Second))
-		r.until("the good one's call stands", func() bool { return r.counters().Established == 1 })
+		good.Offer(testCall(time.Second))
+		r.waitUntil("the other client's call is established", func() bool { return r.counters().Established == 1 })
 		good.Close()
 		r.close()
 	})
 }
 
-// A client that never reads loses its connection when its queue is full, within the write limit; its calls are withdrawn,
-// the others' are not touched.
-func TestSlowReader(t *testing.T) {
+// A client that never reads its socket must be disconnected once its send queue is full or the write limit has passed; its
+// calls are released, and calls of other clients go on.
+func TestClientThatNeverReadsIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, memory(), func(c *config.Config, _ *Options) { c.Association.Queue = 8192 })
-		good := r.client(900)
-		slow := r.raw(901)
-		for i := range 4000 { // each is refused at once: no such number
-			if _, err := slow.Write(r.frame(uint16(i), "77")); err != nil {
+		r := newTestbed(t, memoryTransport(), func(c *config.Config, _ *Options) { c.Association.Queue = 8192 })
+		good := r.newClient(900)
+		slow := r.dialRaw(901)
+		for i := range 4000 { // the number does not exist, so each call is refused at once
+			if _, err := slow.Write(r.iamFrame(uint16(i), "77")); err != nil {
 				break
 			}
 		}
-		good.Offer(call(time.Second))
-		r.until("the good one's call stands", func() bool { return r.counters().Established == 1 })
-		r.until("the slow one is cut off", func() bool { return r.d.clients.Load() == 1 })
+		good.Offer(testCall(time.Second))
+		r.waitUntil("the other client's call is established", func() bool { return r.counters().Established == 1 })
+		r.waitUntil("the client that never reads is disconnected", func() bool { return r.d.clients.Load() == 1 })
 		good.Close()
 		r.close()
 	})
 }
 
-// A switch that accepts and never answers ASPUP is given up and tried again.
-func TestSilentSwitch(t *testing.T) {
+// A switch that accepts connections but never answers ASPUP must be given up after 3 s and dialled again, and calls to it must
+// be refused.
+func TestSwitchThatNeverAnswersASPUPIsRedialled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := memory()
-		r := newRig(t, w, nil)
-		l, _ := w.listen("127.0.0.1:9")
+		network := memoryTransport()
+		r := newTestbed(t, network, nil)
+		l, _ := network.listen("127.0.0.1:9")
 		var accepted atomic.Int32
 		go func() {
 			for {
@@ -313,38 +316,40 @@
 		}
 		time.Sleep(20 * time.Second)
 		if n := accepted.Load(); n < 4 || n > 8 {
-			t.Errorf("%d connections in 20 s: given up after 3 s, then tried again", n)
+			t.Errorf("%d connections in 20 s; want 4 to 8: each is given up after 3 s and dialled again", n)
 		}
-		c := r.client(900)
-		k := call(time.Second)
+		c := r.newClient(900)
+		k := testCall(time.Second)
 		k.Called = "3001"
 		c.Offer(k)
-		r.until("refused", func() bool { return c.Totals().Refused == 1 })
+		r.waitUntil("the call is refused", func() bool { return c.Totals().Refused == 1 })
 		c.Close()
 		l.Close()
 		r.close()
 	})
 }
 
-func TestClientsOfTheSettings(t *testing.T) {
+// With clients in the settings, a client with another ASP identifier must be disconnected, and so must a connection beyond
+// limits.clients.
+func TestOnlyConfiguredClientsWithinTheLimitAreAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, memory(), func(c *config.Config, _ *Options) {
+		r := newTestbed(t, memoryTransport(), func(c *config.Config, _ *Options) {
 			c.Tenants = []config.Tenant{{Name: "x"}, {Name: "y"}}
 			c.Clients = []config.Client{{Name: "branch", ASP: 900, Tenant: "y"}}
 			c.Limits.Clients = 2
 		})
-		stranger := r.raw(901)
-		if !r.closed(stranger, 2*time.Second) {
-			t.Error("a stranger is let in")
+		stranger := r.dialRaw(901)
+		if !r.closedByPeer(stranger, 2*time.Second) {
+			t.Error("a client that is not in the settings is accepted")
 		}
-		known := r.client(900)
-		known.Offer(call(time.Second))
-		r.until("stands", func() bool { return r.counters().Established == 1 })
-		a := r.raw(900)
+		known := r.newClient(900)
+		known.Offer(testCall(time.Second))
+		r.waitUntil("the call is established", func() bool { return r.counters().Established == 1 })
+		a := r.dialRaw(900)
 		time.Sleep(10 * time.Millisecond)
-		b := r.raw(900)
-		if !r.closed(b, time.Second) {
-			t.Error("a third connection is let in")
+		b := r.dialRaw(900)
+		if !r.closedByPeer(b, time.Second) {
+			t.Error("a third connection is accepted; limits.clients is 2")
 		}
 		a.Close()
 		known.Close()
@@ -352,28 +357,29 @@
 	})
 }
 
-func TestControlPort(t *testing.T) {
-	r := newRig(t, tcp(), func(c *config.Config, _ *Options) { c.Control, c.Metrics = "127.0.0.1:0", "127.0.0.1:0" })
-	c := r.client(900)
-	c.Offer(call(time.Hour))
-	r.until("stands", func() bool { return r.counters().Established == 1 })
-	o, err := textproto.Dial("tcp", r.d.ControlAddr())
+// Guards the control port's replies and the metrics that operators' tools read, and the limit on the length of its lines.
+func TestControlPortCommandsAndMetrics(t *testing.T) {
+	r := newTestbed(t, tcpTransport(), func(c *config.Config, _ *Options) { c.Control, c.Metrics = "127.0.0.1:0", "127.0.0.1:0" })
+	c := r.newClient(900)
+	c.Offer(testCall(time.Hour))
+	r.waitUntil("the call is established", func() bool { return r.counters().Established == 1 })
+	operator, err := textproto.Dial("tcp", r.d.ControlAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := o.ReadResponse(220); err != nil {
+	if _, _, err := operator.ReadResponse(220); err != nil {
 		t.Fatal(err)
 	}
 	ask := func(line string, code int, want string) {
 		t.Helper()
-		o.PrintfLine("%s", line)
-		_, text, err := o.ReadCodeLine(code)
+		operator.PrintfLine("%s", line)
+		_, text, err := operator.ReadCodeLine(code)
 		if err != nil {
 			t.Errorf("%s: %v", line, err)
 			return
 		}
 		if code == 211 {
-			b, _ := o.ReadDotLines()
+			b, _ := operator.ReadDotLines()
 			text = strings.Join(b, "\n")
 		}
 		if !strings.Contains(text, want) {
@@ -392,8 +398,8 @@
 	ask("show groups", 211, "free   19 of   20")
 	ask("block 9", 504, "no trunk group")
 	ask("block x", 501, "no point code")
-	ask("show moon", 501, "cannot be shown")
-	ask("dance", 500, "no command")
+	ask("show unknown", 501, "cannot be shown")
+	ask("unknown", 500, "no command")
 	res, err := http.Get("http://" + r.d.MetricsAddr() + "/metrics")
 	if err != nil {
 		t.Fatal(err)
@@ -406,53 +412,55 @@
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
-	o.PrintfLine("%s", strings.Repeat("x", 5000))
-	if _, _, err := o.ReadResponse(0); err == nil {
-		t.Error("an endless line is read")
+	operator.PrintfLine("%s", strings.Repeat("x", 5000))
+	if _, _, err := operator.ReadResponse(0); err == nil {
+		t.Error("a line of 5000 octets is accepted; the limit is 1000")
 	}
-	o.Close()
+	operator.Close()
 	c.Close()
 	r.close()
 }
 
-func TestReloadRefused(t *testing.T) {
+// A reload that changes the own point code or lacks an exchange must fail as a whole.
+func TestReloadOfFixedSettingsFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, memory(), nil)
+		r := newTestbed(t, memoryTransport(), nil)
 		cfg := *r.d.cfg
 		cfg.Exchange = 2
 		if r.d.Reload(context.Background(), &cfg) == nil {
-			t.Error("another point code passes")
+			t.Error("a reload with another own point code is accepted")
 		}
 		cfg = *r.d.cfg
 		cfg.Exchanges = cfg.Exchanges[:1]
 		if r.d.Reload(context.Background(), &cfg) == nil {
-			t.Error("a missing exchange passes")
+			t.Error("a reload that lacks an exchange is accepted")
 		}
 		r.close()
 	})
 }
 
-// Odd ends are logged one by one, but in a storm only so many, with the number of those left out.
-func TestOddLogIsLimited(t *testing.T) {
+// Refused, failed and cut calls are logged one by one. In a burst of them the rate of lines must be limited, and the next line
+// must give the number of those left out.
+func TestCallLogIsRateLimitedAndCountsSuppressedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, memory(), nil)
-		c := r.client(900)
-		k := call(time.Second)
+		r := newTestbed(t, memoryTransport(), nil)
+		c := r.newClient(900)
+		k := testCall(time.Second)
 		k.Called = "77"
 		for range 300 {
 			c.Offer(k)
 		}
-		r.until("all refused", func() bool { return c.Totals().Refused == 300 })
+		r.waitUntil("all refused", func() bool { return c.Totals().Refused == 300 })
 		time.Sleep(2 * time.Second)
 		c.Offer(k)
 		time.Sleep(time.Second)
 		c.Close()
 		r.close()
 		if n := strings.Count(r.log.String(), `"outcome":"refused"`); n < 20 || n > 100 {
-			t.Errorf("%d lines", n)
+			t.Errorf("%d lines for 301 refused calls; want 20 to 100", n)
 		}
 		if !strings.Contains(r.log.String(), `"suppressed"`) {
-			t.Error("those left out are not counted")
+			t.Error("no line gives the number of suppressed lines")
 		}
 	})
 }
--- a/daemon/hooks.go
+++ b/daemon/hooks.go
@@ -14,88 +14,88 @@
 	"github.com/umbergauge/umbergauge/script"
 )
 
-// hookRunner runs hooks beside the decision goroutine: a bounded queue of questions and a few workers. A worker cannot be
-// held up by a hook, which ends within its steps.
+// hookRunner runs hooks outside the event loop: a bounded queue of jobs and a few workers. A hook cannot block a worker,
+// because the number of its steps is limited.
 type hookRunner struct {
-	d    *Daemon
-	jobs chan hookJob
-	book hooks.Registry // of the decision goroutine
+	d        *Daemon
+	jobs     chan hookJob
+	registry hooks.Registry // owned by the event loop
 }
 
 type hookJob struct {
-	ask    controller.HookRequest // of a call that waits
-	shadow *hooks.Set
-	final  *controller.CallRecord // of one that has ended: its log line waits
-	list   *script.Event
-	set    *hooks.Set // of list
+	request       controller.HookRequest // of a call that waits for the result for the result
+	shadow        *hooks.Set
+	final         *controller.CallRecord // of a call that has ended; its log line is written after the final hooks
+	listChange    *script.Event
+	listChangeSet *hooks.Set // the set that handles listChange
 }
 
 func newHookRunner(d *Daemon) *hookRunner {
 	return &hookRunner{d: d, jobs: make(chan hookJob, d.cfg.Hooks.Queue)}
 }
 
-// Live is the set that new calls belong to.
-func (h *hookRunner) Live() *hooks.Set { return h.book.Live() }
+// Live returns the set that new calls belong to.
+func (h *hookRunner) Live() *hooks.Set { return h.registry.Live() }
 
-// Submit queues a question; false: the queue is full.
-func (h *hookRunner) Submit(a controller.HookRequest) bool {
-	return h.post(hookJob{ask: a, shadow: h.book.Shadow()})
+// Submit queues a request; false: the queue is full.
+func (h *hookRunner) Submit(r controller.HookRequest) bool {
+	return h.post(hookJob{request: r, shadow: h.registry.Shadow()})
 }
 
-func (h *hookRunner) post(j hookJob) bool {
+func (h *hookRunner) post(job hookJob) bool {
 	select {
-	case h.jobs <- j:
+	case h.jobs <- job:
 		return true
 	default:
 		return false
 	}
 }
 
-// work is one worker.
+// work runs jobs until ctx ends.
 func (h *hookRunner) work(ctx context.Context) {
 	r := hooks.NewRunner()
 	for {
 		select {
-		case j := <-h.jobs:
-			h.one(ctx, r, j)
+		case job := <-h.jobs:
+			h.runJob(ctx, r, job)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (h *hookRunner) one(ctx context.Context, r *hooks.Runner, j hookJob) {
+func (h *hookRunner) runJob(ctx context.Context, r *hooks.Runner, job hookJob) {
 	defer func() { h.d.group.Recovered("hook", recover()) }()
 	now := h.d.now()
 	switch {
-	case j.final != nil:
-		var a hooks.Advice
-		ev := h.d.finalEvent(j.final)
-		r.Run(j.final.Set, script.Final, &ev, now, &a)
-		h.noted(&a)
-		h.d.odd.line(*j.final, &a)
-	case j.list != nil:
-		var a hooks.Advice
-		r.Run(j.set, script.ListChange, j.list, now, &a)
-		h.noted(&a)
-		h.logged(script.ListChange, &a)
+	case job.final != nil:
+		var result hooks.Advice
+		ev := h.d.finalEvent(job.final)
+		r.Run(job.final.Set, script.Final, &ev, now, &result)
+		h.logBreakers(&result)
+		h.d.callLog.record(*job.final, &result)
+	case job.listChange != nil:
+		var result hooks.Advice
+		r.Run(job.listChangeSet, script.ListChange, job.listChange, now, &result)
+		h.logBreakers(&result)
+		h.logFields(script.ListChange, &result)
 	default:
-		a := &hooks.Advice{}
-		h.answer(r, j.ask.Set, &j.ask, now, a)
+		result := &hooks.Advice{}
+		h.runRequest(r, job.request.Set, &job.request, now, result)
 		select {
-		case h.d.events <- event{kind: evAdvice, pc: j.ask.Seq, id: j.ask.Call, advice: a}:
+		case h.d.events <- event{kind: evAdvice, pc: job.request.Seq, id: job.request.Call, advice: result}:
 		case <-ctx.Done():
 			return
 		}
-		h.noted(a)
-		if j.shadow != nil {
-			b := &hooks.Advice{}
-			h.answer(r, j.shadow, &j.ask, now, b)
-			diff := hooks.Diff(a, b)
+		h.logBreakers(result)
+		if job.shadow != nil {
+			shadowResult := &hooks.Advice{}
+			h.runRequest(r, job.shadow, &job.request, now, shadowResult)
+			diff := hooks.Diff(result, shadowResult)
 			select {
-			case h.d.events <- event{kind: evCall, call: func() {
-				if h.book.Shadow() == j.shadow {
-					h.book.AddComparison(j.ask.Kind, diff)
+			case h.d.events <- event{kind: evFunc, fn: func() {
+				if h.registry.Shadow() == job.shadow {
+					h.registry.AddComparison(job.request.Kind, diff)
 				}
 			}}:
 			case <-ctx.Done():
@@ -104,74 +104,74 @@
 	}
 }
 
-func (h *hookRunner) answer(r *hooks.Runner, s *hooks.Set, q *controller.HookRequest, now time.Duration, a *hooks.Advice) {
-	r.Run(s, q.Kind, &q.Event, now, a)
-	if q.Kind == script.Arrival && a.Refuse == 0 {
-		ev := q.Event
-		if a.Class != "" {
-			ev.S[2] = a.Class
+func (h *hookRunner) runRequest(r *hooks.Runner, set *hooks.Set, request *controller.HookRequest, now time.Duration, advice *hooks.Advice) {
+	r.Run(set, request.Kind, &request.Event, now, advice)
+	if request.Kind == script.Arrival && advice.Refuse == 0 {
+		ev := request.Event
+		if advice.Class != "" {
+			ev.S[2] = advice.Class
 		}
-		if a.Tenant != "" {
-			ev.S[3] = a.Tenant
+		if advice.Tenant != "" {
+			ev.S[3] = advice.Tenant
 		}
-		if a.Rewrite != "" {
-			ev.S[0] = a.Rewrite
+		if advice.Rewrite != "" {
+			ev.S[0] = advice.Rewrite
 		}
-		r.Run(s, script.Route, &ev, now, a)
+		r.Run(set, script.Route, &ev, now, advice)
 	}
 }
 
-// noted logs what breakers did.
-func (h *hookRunner) noted(a *hooks.Advice) {
-	for _, n := range a.Notes {
-		h.d.log.Warn().Msg("hook " + n)
+// logBreakers logs the state changes of the hooks' circuit breakers and counts the hooks that failed.
+func (h *hookRunner) logBreakers(advice *hooks.Advice) {
+	for _, note := range advice.Notes {
+		h.d.log.Warn().Msg("hook " + note)
 	}
-	if len(a.Failed) > 0 {
-		h.d.metrics.hookFailures.Add(float64(len(a.Failed)))
+	if len(advice.Failed) > 0 {
+		h.d.metrics.hookFailures.Add(float64(len(advice.Failed)))
 	}
 }
 
-func (h *hookRunner) logged(kind string, a *hooks.Advice) {
-	if len(a.Logs) == 0 {
+func (h *hookRunner) logFields(kind string, advice *hooks.Advice) {
+	if len(advice.Logs) == 0 {
 		return
 	}
-	l := h.d.log.Info()
-	for _, p := range a.Logs {
-		l = l.Str("x_"+p.Key, p.Value)
+	entry := h.d.log.Info()
+	for _, field := range advice.Logs {
+		entry = entry.Str("x_"+field.Key, field.Value)
 	}
-	l.Msg("hook " + kind)
+	entry.Msg("hook " + kind)
 }
 
-// tick runs the hooks whose time has come, about every second.
-func (h *hookRunner) tick(ctx context.Context) {
+// runPeriodic runs the "every" hooks that are due, about once a second.
+func (h *hookRunner) runPeriodic(ctx context.Context) {
 	r := hooks.NewRunner()
-	t := time.NewTicker(time.Second)
-	defer t.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		var s *hooks.Set
+		var set *hooks.Set
 		var ev script.Event
-		if h.d.do(ctx, func() {
-			if s = h.book.Live(); s.Has(script.Every) {
+		if h.d.onLoop(ctx, func() {
+			if set = h.registry.Live(); set.Has(script.Every) {
 				c := h.d.core.Counters
 				ev = script.EveryEvent(h.d.core.Waiting(), h.d.core.Open(), c.Offered, c.Established, c.Refused, c.TimedOut)
 			}
-		}) != nil || !s.Has(script.Every) {
+		}) != nil || !set.Has(script.Every) {
 			continue
 		}
-		var a hooks.Advice
-		r.Due(s, &ev, h.d.now(), &a)
-		h.noted(&a)
-		h.logged(script.Every, &a)
+		var advice hooks.Advice
+		r.Due(set, &ev, h.d.now(), &advice)
+		h.logBreakers(&advice)
+		h.logFields(script.Every, &advice)
 	}
 }
 
-// read makes a checked set of files; nothing of it is in use yet.
-func (h *hookRunner) read(files, examples []string, earlier *hooks.Set) (*hooks.Set, error) {
+// readFiles compiles files into a set and checks it against the examples; the set is not in use yet.
+func (h *hookRunner) readFiles(files, examples []string, previous *hooks.Set) (*hooks.Set, error) {
 	var src []hooks.Source
 	for _, f := range files {
 		b, err := os.ReadFile(f)
@@ -180,10 +180,10 @@
 		}
 		src = append(src, hooks.Source{Name: filepath.Base(f), Text: string(b)})
 	}
-	return h.compile(src, examples, earlier)
+	return h.compile(src, examples, previous)
 }
 
-func (h *hookRunner) compile(src []hooks.Source, examples []string, earlier *hooks.Set) (*hooks.Set, error) {
+func (h *hookRunner) compile(src []hooks.Source, examples []string, previous *hooks.Set) (*hooks.Set, error) {
 	var names hooks.Names
 	for _, c := range h.d.cfg.Classes {
 		names.Classes = append(names.Classes, c.Name)
@@ -191,7 +191,7 @@
 	for _, t := range h.d.cfg.Tenants {
 		names.Tenants = append(names.Tenants, t.Name)
 	}
-	s, err := hooks.Compile(src, names, earlier)
+	set, err := hooks.Compile(src, names, previous)
 	if err != nil {
 		return nil, err
 	}
@@ -200,109 +200,109 @@
 		if err != nil {
 			return nil, err
 		}
-		ex, err := hooks.ParseExamples(f, b)
+		parsed, err := hooks.ParseExamples(f, b)
 		if err != nil {
 			return nil, err
 		}
-		if err := s.Check(ex); err != nil {
+		if err := set.Check(parsed); err != nil {
 			return nil, fmt.Errorf("%s: %w", f, err)
 		}
 	}
-	for _, w := range s.Warnings() {
-		h.d.log.Warn().Msg("script " + w.Error())
+	for _, warning := range set.Warnings() {
+		h.d.log.Warn().Msg("script " + warning.Error())
 	}
-	return s, nil
+	return set, nil
 }
 
-// LoadHooks reads the scripts of the settings again. A bad set is refused, and the old one stays. shadow: the set is tried
-// beside the live one.
+// LoadHooks reads scripts and examples and makes the set the live one. On an error the old set stays live. With shadow the set
+// runs beside the live one, for comparison only.
 func (d *Daemon) LoadHooks(ctx context.Context, files, examples []string, shadow bool) error {
-	var earlier *hooks.Set
+	var previous *hooks.Set
 	var version int
-	if err := d.do(ctx, func() { earlier, version = d.hooks.book.Live(), d.hooks.book.NextVersion() }); err != nil {
+	if err := d.onLoop(ctx, func() { previous, version = d.hooks.registry.Live(), d.hooks.registry.NextVersion() }); err != nil {
 		return err
 	}
 	if shadow {
-		earlier = nil // what it counts is its own
+		previous = nil // a shadow does not share the live set's state
 	}
-	s, err := d.hooks.read(files, examples, earlier)
+	set, err := d.hooks.readFiles(files, examples, previous)
 	if err != nil {
 		return err
 	}
-	s.Version = version
-	return d.do(ctx, func() { d.useHooks(s, shadow) })
+	set.Version = version
+	return d.onLoop(ctx, func() { d.applyHooks(set, shadow) })
 }
 
-// InstallHooks puts scripts that the program holds into use, for days that are played.
+// InstallHooks makes scripts held in memory the live set, before Run; scenarios use it.
 func (d *Daemon) InstallHooks(src []hooks.Source) error {
-	s, err := d.hooks.compile(src, nil, d.hooks.book.Live())
+	set, err := d.hooks.compile(src, nil, d.hooks.registry.Live())
 	if err != nil {
 		return err
 	}
-	d.hooks.book.Activate(s)
+	d.hooks.registry.Activate(set)
 	return nil
 }
 
-// SwapHooks puts scripts that the program holds in the place of the live ones at one instant.
+// SwapHooks replaces the live set with scripts held in memory, in one step of the event loop.
 func (d *Daemon) SwapHooks(ctx context.Context, src []hooks.Source) error {
-	var earlier *hooks.Set
-	if err := d.do(ctx, func() { earlier = d.hooks.book.Live() }); err != nil {
+	var previous *hooks.Set
+	if err := d.onLoop(ctx, func() { previous = d.hooks.registry.Live() }); err != nil {
 		return err
 	}
-	s, err := d.hooks.compile(src, nil, earlier)
+	set, err := d.hooks.compile(src, nil, previous)
 	if err != nil {
 		return err
 	}
-	return d.do(ctx, func() { d.useHooks(s, false) })
+	return d.onLoop(ctx, func() { d.applyHooks(set, false) })
 }
 
-func (d *Daemon) useHooks(s *hooks.Set, shadow bool) {
+func (d *Daemon) applyHooks(set *hooks.Set, shadow bool) {
 	if shadow {
-		d.hooks.book.SetShadow(s)
-		d.log.Info().Stringer("set", s).Msg("scripts on trial")
+		d.hooks.registry.SetShadow(set)
+		d.log.Info().Stringer("set", set).Msg("hook scripts run as shadow")
 		return
 	}
-	d.hooks.book.Activate(s)
-	d.log.Info().Stringer("set", s).Msg("scripts in use")
+	d.hooks.registry.Activate(set)
+	d.log.Info().Stringer("set", set).Msg("hook scripts live")
 }
 
-// hooksCommand carries out a line of the control port.
+// hooksCommand executes the control port's command "hooks".
 func (d *Daemon) hooksCommand(ctx context.Context, args []string) error {
 	switch {
 	case len(args) == 1 && args[0] == "load":
 		return d.LoadHooks(ctx, d.cfg.Hooks.Files, d.cfg.Hooks.Examples, false)
 	case len(args) == 1 && args[0] == "rollback":
 		var err error
-		if e := d.do(ctx, func() { err = d.hooks.book.RollBack() }); e != nil {
+		if e := d.onLoop(ctx, func() { err = d.hooks.registry.RollBack() }); e != nil {
 			return e
 		}
 		return err
 	case len(args) == 2 && args[0] == "shadow" && args[1] == "off":
-		return d.do(ctx, func() { d.hooks.book.SetShadow(nil) })
+		return d.onLoop(ctx, func() { d.hooks.registry.SetShadow(nil) })
 	case len(args) >= 2 && args[0] == "shadow":
 		return d.LoadHooks(ctx, args[1:], nil, true)
 	}
 	return errors.New("hooks load, hooks rollback, hooks shadow FILE... and hooks shadow off can be")
 }
 
-func (d *Daemon) finalEvent(e *controller.CallRecord) script.Event {
-	c := script.Call{Called: e.Called.String(), Calling: e.Calling.String(), Category: int(e.Category), Transit: e.Transit, To: int(e.To), Attempts: e.Attempts, Age: e.After}
-	if e.Class < len(d.cfg.Classes) {
-		c.Class = d.cfg.Classes[e.Class].Name
+func (d *Daemon) finalEvent(call *controller.CallRecord) script.Event {
+	data := script.Call{Called: call.Called.String(), Calling: call.Calling.String(), Category: int(call.Category), Transit: call.Transit, To: int(call.To), Attempts: call.Attempts, Age: call.After}
+	if call.Class < len(d.cfg.Classes) {
+		data.Class = d.cfg.Classes[call.Class].Name
 	}
-	if e.Tenant < len(d.cfg.Tenants) {
-		c.Tenant = d.cfg.Tenants[e.Tenant].Name
+	if call.Tenant < len(d.cfg.Tenants) {
+		data.Tenant = d.cfg.Tenants[call.Tenant].Name
 	}
-	return script.FinalEvent(c, e.Outcome.String(), int(e.Cause), int(e.Via), e.After)
+	return script.FinalEvent(data, call.Outcome.String(), int(call.Cause), int(call.Via), call.After)
 }
 
-// ExchangeChanged hands changes of the list to the hooks.
-func (p port) ExchangeChanged(e policy.Entry, cold bool) {
+// ExchangeChanged runs the list_change hooks on a change of the list of exchanges.
+func (p port) ExchangeChanged(entry policy.Entry, cold bool) {
 	h := p.d.hooks
-	if s := h.book.Live(); s.Has(script.ListChange) {
-		ev := script.ListEvent(e.PointCode, [...]string{"ready", "draining", "gone"}[e.Health], cold)
-		if !h.post(hookJob{list: &ev, set: s}) {
-			s.CountTimeout(script.ListChange)
+	if set := h.registry.Live(); set.Has(script.ListChange) {
+		ev := script.ListEvent(entry.PointCode, [...]string{"ready", "draining", "gone"}[entry.Health], cold)
+		if !h.post(hookJob{listChange: &ev, listChangeSet: set}) {
+			set.CountTimeout(script.ListChange)
 		}
 	}
 }
--- a/daemon/hooks_test.go
+++ b/daemon/hooks_test.go
@@ -12,75 +12,76 @@
 	"github.com/umbergauge/umbergauge/internal/config"
 )
 
-func write(t *testing.T, file, text string) {
+func writeFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Scripts are loaded, changed, refused, tried beside the live ones and rolled back, all with calls coming.
-func TestHooksInService(t *testing.T) {
+// Scripts are loaded, rejected with errors, replaced, compared as a shadow and rolled back while calls arrive. A rejected set
+// must leave the live one in place, and a shadow must change no call.
+func TestHooksAreReloadedComparedAndRolledBackDuringCalls(t *testing.T) {
 	dir := t.TempDir()
 	file, examples, shadow := filepath.Join(dir, "h.ug"), filepath.Join(dir, "e.yaml"), filepath.Join(dir, "s.ug")
-	write(t, file, "on arrival {\n\tif call.called == \"112\" {\n\t\trewrite(\"2112\")\n\t}\n}\non final {\n\tlog(\"took\", result.after)\n}\n")
-	write(t, examples, "- hook: arrival\n  event: {call.called: \"112\"}\n  want: {rewrite: \"2112\"}\n")
-	r := newRig(t, tcp(), func(c *config.Config, _ *Options) {
+	writeFile(t, file, "on arrival {\n\tif call.called == \"112\" {\n\t\trewrite(\"2112\")\n\t}\n}\non final {\n\tlog(\"took\", result.after)\n}\n")
+	writeFile(t, examples, "- hook: arrival\n  event: {call.called: \"112\"}\n  want: {rewrite: \"2112\"}\n")
+	r := newTestbed(t, tcpTransport(), func(c *config.Config, _ *Options) {
 		c.Control = "127.0.0.1:0"
 		c.Hooks.Files, c.Hooks.Examples = []string{file}, []string{examples}
-		c.Hooks.Deadline = time.Second // a busy machine is not the point here
+		c.Hooks.Deadline = time.Second // long, so that a busy machine does not miss it
 	})
-	c := r.client(900)
-	o, err := textproto.Dial("tcp", r.d.ControlAddr())
+	c := r.newClient(900)
+	operator, err := textproto.Dial("tcp", r.d.ControlAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.ReadResponse(220)
+	operator.ReadResponse(220)
 	ask := func(line string, code int) string {
 		t.Helper()
-		o.PrintfLine("%s", line)
-		_, text, err := o.ReadCodeLine(code)
+		operator.PrintfLine("%s", line)
+		_, text, err := operator.ReadCodeLine(code)
 		if err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
 		if strings.HasSuffix(text, "follows") {
-			b, _ := o.ReadDotLines()
+			b, _ := operator.ReadDotLines()
 			text = strings.Join(b, "\n")
 		}
 		return text
 	}
-	k := call(time.Hour)
+	k := testCall(time.Hour)
 	k.Called = "112"
 	c.Offer(k)
-	r.until("112 stands", func() bool { return r.counters().Established == 1 })
-	write(t, file, "on arrival {\n\trefus(21)\n}\n")
+	r.waitUntil("the call to 112 is established", func() bool { return r.counters().Established == 1 })
+	writeFile(t, file, "on arrival {\n\trefus(21)\n}\n")
 	if text := ask("hooks load", 554); !strings.Contains(text, "h.ug:2:2: there is no function refus; refuse?") {
 		t.Errorf("%q", text)
 	}
-	write(t, file, "on arrival {\n\trefuse(21)\n}\n")
+	writeFile(t, file, "on arrival {\n\trefuse(21)\n}\n")
 	if text := ask("hooks load", 554); !strings.Contains(text, "example 1 (arrival)") {
 		t.Errorf("%q", text)
 	}
 	c.Offer(k)
-	r.until("112 stands still", func() bool { return r.counters().Established == 2 })
-	write(t, file, "on arrival {\n\tif call.called == \"112\" {\n\t\trewrite(\"2112\")\n\t}\n\tif call.called == \"2666\" {\n\t\trefuse(21)\n\t}\n}\n")
+	r.waitUntil("the second call to 112 is established", func() bool { return r.counters().Established == 2 })
+	writeFile(t, file, "on arrival {\n\tif call.called == \"112\" {\n\t\trewrite(\"2112\")\n\t}\n\tif call.called == \"2666\" {\n\t\trefuse(21)\n\t}\n}\n")
 	ask("hooks load", 200)
 	k.Called = "2666"
 	c.Offer(k)
-	r.until("2666 is refused", func() bool { return r.counters().HookRefused == 1 })
-	write(t, shadow, "on arrival {\n\tset_class(\"a\")\n}\n")
+	r.waitUntil("the call to 2666 is refused", func() bool { return r.counters().HookRefused == 1 })
+	writeFile(t, shadow, "on arrival {\n\tset_class(\"a\")\n}\n")
 	ask("hooks shadow "+shadow, 200)
 	c.Offer(k)
-	r.until("the shadow is compared", func() bool { return strings.Contains(ask("show hooks", 211), "1 runs, 1 differ") })
+	r.waitUntil("the shadow's result is compared", func() bool { return strings.Contains(ask("show hooks", 211), "1 runs, 1 differ") })
 	if r.counters().HookRefused != 2 {
-		t.Error("the shadow has changed something")
+		t.Error("the shadow changed the outcome of a call")
 	}
 	ask("hooks shadow off", 200)
 	ask("hooks rollback", 200)
 	c.Offer(k)
-	r.until("the version before lets it through", func() bool { return r.counters().Established == 3 })
+	r.waitUntil("the earlier version accepts the call", func() bool { return r.counters().Established == 3 })
 	ask("hooks rollback", 554)
-	ask("hooks dance", 554)
+	ask("hooks unknown", 554)
 	if text := ask("show hooks", 211); !strings.Contains(text, "live version 1") || !strings.Contains(text, "in use") {
 		t.Errorf("%s", text)
 	}
@@ -89,29 +90,30 @@
 		x.Hooks.Files = []string{filepath.Join(dir, "none.ug")}
 		return &x
 	}(), Log: r.d.log}); err == nil {
-		t.Error("a daemon starts without its scripts")
+		t.Error("New succeeds although a script file is missing")
 	}
-	o.Close()
+	operator.Close()
 	c.Close()
 	r.close()
 }
 
-// Final hooks put their words on the log line; a hook that fails is taken out and that is said.
-func TestHooksInTheLog(t *testing.T) {
+// Tags and log fields of hooks must reach the log, and a hook that keeps failing must be taken out by its breaker, with a log
+// line that names it and its error.
+func TestHookLogFieldsAndBreakerTripsReachTheLog(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "h.ug")
-	write(t, file, "on arrival {\n\ttag(\"seen\")\n\tif call.called == \"2666\" {\n\t\tfail \"beast\"\n\t}\n}\non final {\n\tif result.outcome == \"finished\" {\n\t\tlog(\"via\", result.via)\n\t}\n}\nevery 2s {\n\tlog(\"offered\", system.offered)\n}\non list_change {\n\tlog(\"state\", exchange.state)\n}\n")
+	writeFile(t, file, "on arrival {\n\ttag(\"seen\")\n\tif call.called == \"2666\" {\n\t\tfail \"rejected number\"\n\t}\n}\non final {\n\tif result.outcome == \"finished\" {\n\t\tlog(\"via\", result.via)\n\t}\n}\nevery 2s {\n\tlog(\"offered\", system.offered)\n}\non list_change {\n\tlog(\"state\", exchange.state)\n}\n")
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, memory(), func(c *config.Config, _ *Options) { c.Hooks.Files = []string{file} })
-		c := r.client(900)
-		c.Offer(call(time.Second))
-		k := call(time.Second)
+		r := newTestbed(t, memoryTransport(), func(c *config.Config, _ *Options) { c.Hooks.Files = []string{file} })
+		c := r.newClient(900)
+		c.Offer(testCall(time.Second))
+		k := testCall(time.Second)
 		k.Called = "2666"
 		for range 10 {
 			time.Sleep(50 * time.Millisecond)
 			c.Offer(k)
 		}
-		r.until("all are over", func() bool { return r.counters().Finished == 11 })
+		r.waitUntil("all calls finished", func() bool { return r.counters().Finished == 11 })
 		if n := r.counters(); n.HookAsked != 11 {
 			t.Errorf("%+v", n)
 		}
@@ -120,7 +122,7 @@
 		c.Close()
 		r.close()
 		text := r.log.String()
-		for _, want := range []string{`"x_via":"2"`, `"tags":["seen"]`, `"x_offered":"11"`, `"x_state":"draining"`, "h.ug:1 is out", "beast"} {
+		for _, want := range []string{`"x_via":"2"`, `"tags":["seen"]`, `"x_offered":"11"`, `"x_state":"draining"`, "h.ug:1 is out", "rejected number"} {
 			if !strings.Contains(text, want) {
 				t.Errorf("the log has no %s", want)
 			}
