--- a/cmd/umbergauge/capture.go
+++ b/cmd/umbergauge/capture.go
@@ -26,7 +26,7 @@
 			}
 			var recorder load.Recorder
 			var first time.Time
-			carrying := map[circuit]bool{} // circuits that carry a selected call at this point of the capture
+			selected := map[circuit]bool{} // circuits that carry a selected call at this point of the capture
 			for _, file := range args {
 				err := capture.Read(file, func(frame capture.Frame) error {
 					var m m3ua.Message
@@ -52,11 +52,11 @@
 						case isup.IAM:
 							ref := fmt.Sprintf("%d.%d", u.Ref.PC, u.Ref.ID)
 							text += fmt.Sprintf(" to %v, call %s", u.Called, ref)
-							carrying[key] = number != "" && strings.HasPrefix(u.Called.String(), number) || call != "" && call == ref
+							selected[key] = number != "" && strings.HasPrefix(u.Called.String(), number) || call != "" && call == ref
 						case isup.REL:
 							text += fmt.Sprintf(" cause %d", u.Cause)
 						}
-						wanted = wanted || carrying[key]
+						wanted = wanted || selected[key]
 					}
 					if wanted && clients == "" {
 						fmt.Fprintf(cmd.OutOrStdout(), "%s %v > %v %s\n", frame.At.Format("15:04:05.000000"), frame.From, frame.To, text)
--- a/cmd/umbergauge/day.go
+++ b/cmd/umbergauge/day.go
@@ -129,16 +129,16 @@
 		a, b uint32
 		cic  uint16
 	}
-	carrying := map[circuit]bool{}
+	selected := map[circuit]bool{}
 	check.Trace(io.Discard, rec, func(_ record.Link, m *m3ua.Message, u *isup.Message) bool {
 		if u != nil && u.Type == isup.IAM && fmt.Sprintf("%d.%d", u.Ref.PC, u.Ref.ID) == call {
-			carrying[circuit{m.Data.OPC, m.Data.DPC, u.CIC}] = true
-			carrying[circuit{m.Data.DPC, m.Data.OPC, u.CIC}] = true
+			selected[circuit{m.Data.OPC, m.Data.DPC, u.CIC}] = true
+			selected[circuit{m.Data.DPC, m.Data.OPC, u.CIC}] = true
 		}
 		return false
 	})
 	check.Trace(w, rec, func(_ record.Link, m *m3ua.Message, u *isup.Message) bool {
-		return u != nil && carrying[circuit{m.Data.OPC, m.Data.DPC, u.CIC}]
+		return u != nil && selected[circuit{m.Data.OPC, m.Data.DPC, u.CIC}]
 	})
 }
 
--- a/cmd/umbergauge/main.go
+++ b/cmd/umbergauge/main.go
@@ -13,7 +13,7 @@
 // Exit codes.
 const (
 	exitOK     = 0
-	exitFailed = 1 // the operation failed, or what was checked is at fault
+	exitFailed = 1 // the operation failed, or what was checked has faults
 	exitUsage  = 2 // wrong command line
 )
 
--- a/daemon/application_server_test.go
+++ b/daemon/application_server_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// A client with three associations: when one is lost, its call must go on over another; with none left the call must be kept
-// until T(r) expires, and then be cut.
+// A client with three associations: when one is lost, its call must go on over another. With none left, the call must be kept
+// while T(r) runs, go on over one that connects in time, and be cut when T(r) expires.
 func TestCallOfAClientSurvivesLostAssociationsUntilTheRecoveryTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestbed(t, memoryTransport(), func(c *config.Config, _ *Options) {
--- a/daemon/association.go
+++ b/daemon/association.go
@@ -26,7 +26,7 @@
 
 	mu             sync.Mutex
 	asp            *m3ua.ASP
-	malformedCount int // malformed frames received received
+	malformedCount int // malformed frames received
 }
 
 // batchPool holds buffers for the whole frames that readers pass to the event loop.
--- a/daemon/connect.go
+++ b/daemon/connect.go
@@ -17,7 +17,7 @@
 	"github.com/umbergauge/umbergauge/m3ua"
 )
 
-// peers holds the clients of the settings, and which exchanges have a connector, the goroutine that keeps them connected.
+// peers holds the clients of the settings and the exchanges that have a connector (the goroutine that runs connect).
 type peers struct {
 	mu           sync.Mutex
 	cfg          *config.Config
@@ -96,7 +96,8 @@
 
 // accept accepts connections of clients up to the limits of the settings.
 func (d *Daemon) accept(ctx context.Context) {
-	// Limits the rate of new connections. In a connection storm the clients turned away try again later, which spreads the load.
+	// handshakes limits the rate of new connections. In a storm of them the clients turned away try again later, which spreads
+	// the load.
 	handshakes := rate.NewLimiter(rate.Limit(d.cfg.Limits.Handshakes), max(1, int(d.cfg.Limits.Handshakes)))
 	taskgroup.Accept(ctx, d.clientListener, func(err error) { d.log.Error().Err(err).Msg("accept") }, func(conn net.Conn) {
 		if int(d.clients.Add(1)) > d.cfg.Limits.Clients || !handshakes.Allow() {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -46,7 +46,7 @@
 	core         *controller.Core
 	events       chan event
 	associations map[controller.AssocID]*association // owned by the event loop
-	wakePending  []*association                      // whose writers have to be woken
+	wakePending  []*association                      // associations whose writers have to be woken
 	goingDown    *association                        // the association whose loss is being handled
 	nextID       atomic.Uint32
 	clients      atomic.Int32 // open connections of clients
@@ -375,8 +375,8 @@
 	}
 }
 
-// Reload applies changed settings: names, prefixes and additional exchanges. If the settings change anything else, the error
-// names it and nothing is applied.
+// Reload applies changed names and prefixes of exchanges and adds new exchanges. Settings that change the own point code or the
+// size of a trunk group, or lack an exchange, are an error, and then nothing is applied.
 func (d *Daemon) Reload(ctx context.Context, cfg *config.Config) error {
 	var err error
 	if e := d.onLoop(ctx, func() {
@@ -449,22 +449,22 @@
 }
 
 // record logs the end of a call, with the tags and log fields of its final hooks; advice is nil if none ran.
-func (o *callLogger) record(call controller.CallRecord, advice *hooks.Advice) {
+func (l *callLogger) record(call controller.CallRecord, advice *hooks.Advice) {
 	switch {
 	case call.Outcome == controller.Failed, call.Outcome == controller.Cut, call.Outcome == controller.Refused:
 	case advice != nil && len(advice.Tags)+len(advice.Logs) > 0:
 	default:
 		return
 	}
-	if !o.limit.Allow() {
-		o.suppressed.Add(1)
+	if !l.limit.Allow() {
+		l.suppressed.Add(1)
 		return
 	}
 	class := ""
-	if call.Class < len(o.cfg.Classes) {
-		class = o.cfg.Classes[call.Class].Name
+	if call.Class < len(l.cfg.Classes) {
+		class = l.cfg.Classes[call.Class].Name
 	}
-	record := o.log.Info().Stringer("outcome", call.Outcome).Uint64("call", call.Call).Str("class", class).Bool("transit", call.Transit).
+	record := l.log.Info().Stringer("outcome", call.Outcome).Uint64("call", call.Call).Str("class", class).Bool("transit", call.Transit).
 		Stringer("called", call.Called).Uint32("to", call.To).Uint32("via", call.Via).Int("attempts", call.Attempts).
 		Uint8("cause", uint8(call.Cause)).Dur("after", call.After)
 	tags := call.Tags
@@ -477,7 +477,7 @@
 	if len(tags) > 0 {
 		record = record.Strs("tags", tags)
 	}
-	if n := o.suppressed.Swap(0); n > 0 {
+	if n := l.suppressed.Swap(0); n > 0 {
 		record = record.Int64("suppressed", n)
 	}
 	record.Msg("call")
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -338,8 +338,8 @@
 			c.Clients = []config.Client{{Name: "branch", ASP: 900, Tenant: "y"}}
 			c.Limits.Clients = 2
 		})
-		stranger := r.dialRaw(901)
-		if !r.closedByPeer(stranger, 2*time.Second) {
+		unlisted := r.dialRaw(901)
+		if !r.closedByPeer(unlisted, 2*time.Second) {
 			t.Error("a client that is not in the settings is accepted")
 		}
 		known := r.newClient(900)
@@ -421,7 +421,7 @@
 	r.close()
 }
 
-// A reload that changes the own point code or lacks an exchange must fail as a whole.
+// A reload that changes the own point code or lacks an exchange must return an error.
 func TestReloadOfFixedSettingsFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestbed(t, memoryTransport(), nil)
--- a/daemon/hooks.go
+++ b/daemon/hooks.go
@@ -22,8 +22,9 @@
 	registry hooks.Registry // owned by the event loop
 }
 
+// hookJob is one of three jobs: a hook request, the final hooks of a call, or a change of the list of exchanges.
 type hookJob struct {
-	request       controller.HookRequest // of a call that waits for the result for the result
+	request       controller.HookRequest // of a call that waits for the result
 	shadow        *hooks.Set
 	final         *controller.CallRecord // of a call that has ended; its log line is written after the final hooks
 	listChange    *script.Event
