--- a/controller/hooks.go
+++ b/controller/hooks.go
@@ -79,7 +79,7 @@
 	call.tags = append(call.tags, advice.Tags...)
 	if waitedFor == hookWaitAttemptEnd {
 		cause := call.cause
-		if advice.TreatAs != 0 && script.Treatable(int64(advice.TreatAs)) {
+		if advice.TreatAs != 0 && script.ValidTreatAs(int64(advice.TreatAs)) {
 			cause = isup.Cause(advice.TreatAs)
 		}
 		c.attemptReleased(call, cause)
--- a/hooks/run.go
+++ b/hooks/run.go
@@ -138,7 +138,7 @@
 			}
 		}
 	}
-	if h.kind == script.AttemptEnd && a.TreatAs == 0 && script.Treatable(int64(res.TreatAs)) {
+	if h.kind == script.AttemptEnd && a.TreatAs == 0 && script.ValidTreatAs(int64(res.TreatAs)) {
 		a.TreatAs = res.TreatAs
 	}
 	for _, t := range res.Tags {
--- a/hooks/set.go
+++ b/hooks/set.go
@@ -114,7 +114,7 @@
 		s.programs = append(s.programs, p)
 		s.states = append(s.states, p.NewState(oldState, oldProgram))
 		for i, h := range p.Hooks {
-			compiled := &hook{set: s, program: len(s.programs) - 1, index: i, kind: h.Kind, name: fmt.Sprintf("%s:%d", p.Name, h.Line), refuse: h.Refuse, every: h.Every}
+			compiled := &hook{set: s, program: len(s.programs) - 1, index: i, kind: h.Kind, name: fmt.Sprintf("%s:%d", p.Name, h.Line), refuse: h.RefuseOnFailure, every: h.Every}
 			s.hooks = append(s.hooks, compiled)
 			s.byKind[h.Kind] = append(s.byKind[h.Kind], compiled)
 		}
--- a/script/ast.go
+++ b/script/ast.go
@@ -45,15 +45,15 @@
 	return [...]string{"nothing", "int", "float", "bool", "duration", "string", "pattern"}[t.kind]
 }
 
-func (t Type) is(u Type) bool {
+func (t Type) compatibleWith(u Type) bool {
 	if t.kind != u.kind {
 		return false
 	}
-	return t.elem == nil || u.elem == nil || t.elem.is(*u.elem)
+	return t.elem == nil || u.elem == nil || t.elem.compatibleWith(*u.elem)
 }
 
 // wide tells that values live in the bank of references.
-func (t Type) wide() bool { return t.kind >= kString }
+func (t Type) isRef() bool { return t.kind >= kString }
 
 // file is a parsed program.
 type file struct {
@@ -82,13 +82,13 @@
 	}
 	// stateDecl declares a rate, a top or a counter.
 	stateDecl struct {
-		pos    Pos
-		what   string
-		name   string
-		window time.Duration
-		keys   int
-		used   bool
-		slot   int
+		pos     Pos
+		keyword string
+		name    string
+		window  time.Duration
+		keys    int
+		used    bool
+		slot    int
 	}
 	param struct {
 		pos  Pos
@@ -112,15 +112,15 @@
 		value token
 	}
 	hookDecl struct {
-		pos    Pos
-		attrs  []attr
-		hook   string // arrival ... or every
-		every  time.Duration
-		body   *block
-		calls  map[*fnDecl]Pos
-		refuse bool
-		steps  int
-		memory int
+		pos             Pos
+		attrs           []attr
+		hook            string // arrival ... or every
+		every           time.Duration
+		body            *block
+		calls           map[*fnDecl]Pos
+		refuseOnFailure bool
+		steps           int
+		memory          int
 	}
 )
 
@@ -163,10 +163,10 @@
 		v        *local
 	}
 	arm struct {
-		pos    Pos
-		values []expr // none: else
-		tops   []expr // end of a range for the value at the same place, or nil
-		body   *block
+		pos       Pos
+		values    []expr // none: else
+		rangeEnds []expr // end of a range for the value at the same place, or nil
+		body      *block
 	}
 	matchStmt struct {
 		pos  Pos
@@ -178,8 +178,8 @@
 		x   expr
 	}
 	breakStmt struct {
-		pos  Pos
-		next bool // continue
+		pos        Pos
+		isContinue bool // continue
 	}
 	failStmt struct {
 		pos Pos
@@ -254,21 +254,21 @@
 	}
 	callExpr struct {
 		typed
-		object string // of a method on declared state
-		name   string
-		args   []expr
-		fn     *fnDecl
-		built  *builtin
-		state  *stateDecl
+		object      string // of a method on declared state
+		name        string
+		args        []expr
+		fn          *fnDecl
+		builtinFunc *builtin
+		state       *stateDecl
 	}
 )
 
 // local is a variable of a function or hook.
 type local struct {
-	name string
-	pos  Pos
-	ty   Type
-	used bool
-	fix  bool // of a loop: it cannot be assigned
-	reg  int
+	name     string
+	pos      Pos
+	ty       Type
+	used     bool
+	readOnly bool // of a loop: it cannot be assigned
+	reg      int
 }
--- a/script/builtin.go
+++ b/script/builtin.go
@@ -2,14 +2,14 @@
 
 // builtin is a function or action of the language. Each has a compiled example on the reference page.
 type builtin struct {
-	name   string
-	object string // "rate", "top", "counter" for methods
-	args   []Type // kNone: any type that has a text
-	result Type
-	hooks  []string // where it can be used; none: everywhere
-	op     op
-	doc    string
-	sample string // a hook that uses it
+	name    string
+	object  string // "rate", "top", "counter" for methods
+	args    []Type // kNone: any type that has a text
+	result  Type
+	hooks   []string // where it can be used; none: everywhere
+	op      op
+	doc     string
+	example string // a hook that uses it
 }
 
 var anyList = Type{kind: kList}
@@ -18,46 +18,46 @@
 // builtins are all of them, in the order of the reference page.
 var builtins = []*builtin{
 	{name: "refuse", args: []Type{tyInt}, hooks: []string{"arrival"}, op: opRefuse, doc: "Refuses the call at once with a cause value of Q.850, 1 to 127. The module is not asked.",
-		sample: "on arrival {\n\tif call.called matches 8299* {\n\t\trefuse(21)\n\t}\n}"},
+		example: "on arrival {\n\tif call.called matches 8299* {\n\t\trefuse(21)\n\t}\n}"},
 	{name: "set_class", args: []Type{tyString}, hooks: []string{"arrival"}, op: opSetClass, doc: "Makes the call one of another class of the settings.",
-		sample: "on arrival {\n\tif call.called matches 8201* {\n\t\tset_class(\"storm-tile\")\n\t}\n}"},
+		example: "on arrival {\n\tif call.called matches 8201* {\n\t\tset_class(\"storm-tile\")\n\t}\n}"},
 	{name: "set_tenant", args: []Type{tyString}, hooks: []string{"arrival"}, op: opSetTenant, doc: "Makes the call one of another tenant of the settings.",
-		sample: "on arrival {\n\tif call.calling matches 9012* {\n\t\tset_tenant(\"city\")\n\t}\n}"},
+		example: "on arrival {\n\tif call.calling matches 9012* {\n\t\tset_tenant(\"city\")\n\t}\n}"},
 	{name: "rewrite", args: []Type{tyString}, hooks: []string{"arrival"}, op: opRewrite, doc: "Replaces the called number: 1 to 24 digits.",
-		sample: "on arrival {\n\tif call.called == \"112\" {\n\t\trewrite(\"820100112\")\n\t}\n}"},
+		example: "on arrival {\n\tif call.called == \"112\" {\n\t\trewrite(\"820100112\")\n\t}\n}"},
 	{name: "exclude", args: []Type{tyInt}, hooks: []string{"route"}, op: opExclude, doc: "Keeps this call away from an exchange, as destination or tandem. Up to 32.",
-		sample: "on route {\n\tif call.class == \"map-tile\" {\n\t\texclude(103)\n\t}\n}"},
-	{name: "treat_as", args: []Type{tyInt}, hooks: []string{"attempt_end"}, op: opTreat, doc: "Lets the module read the cause of a refused attempt as another: 17, 34, 41 and 42 can be.",
-		sample: "on attempt_end {\n\tif end.cause == 47 {\n\t\ttreat_as(42)\n\t}\n}"},
+		example: "on route {\n\tif call.class == \"map-tile\" {\n\t\texclude(103)\n\t}\n}"},
+	{name: "treat_as", args: []Type{tyInt}, hooks: []string{"attempt_end"}, op: opTreatAs, doc: "Lets the module read the cause of a refused attempt as another: 17, 34, 41 and 42 can be.",
+		example: "on attempt_end {\n\tif end.cause == 47 {\n\t\ttreat_as(42)\n\t}\n}"},
 	{name: "tag", args: []Type{tyString}, hooks: []string{"arrival", "final"}, op: opTag, doc: "Puts a word on the call's log line. Up to 16 of 64 octets.",
-		sample: "on arrival {\n\ttag(\"storm desk\")\n}"},
+		example: "on arrival {\n\ttag(\"storm desk\")\n}"},
 	{name: "log", args: []Type{tyString, tyNone}, hooks: []string{"final", "list_change", "every"}, op: opLog, doc: "Adds a field to the log line. Up to 16.",
-		sample: "on final {\n\tlog(\"via\", result.via)\n}"},
+		example: "on final {\n\tlog(\"via\", result.via)\n}"},
 	{name: "len", args: []Type{tyNone}, result: tyInt, op: opLen, doc: "Octets of a string, elements of a list or map.",
-		sample: "on arrival {\n\tif len(call.called) < 6 {\n\t\trefuse(28)\n\t}\n}"},
+		example: "on arrival {\n\tif len(call.called) < 6 {\n\t\trefuse(28)\n\t}\n}"},
 	{name: "substr", args: []Type{tyString, tyInt, tyInt}, result: tyString, op: opSubstr, doc: "Part of a string from the first place up to, without it, the second; places beyond the end are taken for the end.",
-		sample: "on arrival {\n\trewrite(\"8201\" + substr(call.called, 4, 24))\n}"},
+		example: "on arrival {\n\trewrite(\"8201\" + substr(call.called, 4, 24))\n}"},
 	{name: "append", args: []Type{anyList, tyNone}, result: tyNone, op: opAppend, doc: "Adds an element to a list, which grows in place. Up to 1024 elements.",
-		sample: "on route {\n\tlet busy = [103]\n\tappend(busy, 104)\n\tfor x in busy {\n\t\texclude(x)\n\t}\n}"},
+		example: "on route {\n\tlet busy = [103]\n\tappend(busy, 104)\n\tfor x in busy {\n\t\texclude(x)\n\t}\n}"},
 	{name: "keys", args: []Type{anyMap}, result: listOf(tyString), op: opKeys, doc: "Keys of a map, in the order they were put in.",
-		sample: "on final {\n\tlet m = {\"a\": 1, \"b\": 2}\n\tfor k in keys(m) {\n\t\tlog(k, m[k])\n\t}\n}"},
-	{name: "min", args: []Type{tyInt, tyInt}, result: tyInt, op: opMinI, doc: "The lesser of two ints.", sample: "on final {\n\tlog(\"tries\", min(call.attempts, 3))\n}"},
-	{name: "max", args: []Type{tyInt, tyInt}, result: tyInt, op: opMaxI, doc: "The greater of two ints.", sample: "on final {\n\tlog(\"tries\", max(call.attempts, 1))\n}"},
-	{name: "int", args: []Type{tyFloat}, result: tyInt, op: opFtoI, doc: "Whole part of a float.", sample: "on final {\n\tlog(\"n\", int(2.5))\n}"},
-	{name: "float", args: []Type{tyInt}, result: tyFloat, op: opItoF, doc: "An int as float.", sample: "on final {\n\tlog(\"share\", float(call.attempts) / 4.0)\n}"},
-	{name: "text", args: []Type{tyNone}, result: tyString, op: opText, doc: "Any int, float, bool, duration or string as string.", sample: "on final {\n\ttag(\"via \" + text(result.via))\n}"},
-	{name: "seconds", args: []Type{tyDuration}, result: tyFloat, op: opSeconds, doc: "A duration in seconds.", sample: "on final {\n\tlog(\"s\", seconds(result.after))\n}"},
+		example: "on final {\n\tlet m = {\"a\": 1, \"b\": 2}\n\tfor k in keys(m) {\n\t\tlog(k, m[k])\n\t}\n}"},
+	{name: "min", args: []Type{tyInt, tyInt}, result: tyInt, op: opMinI, doc: "The lesser of two ints.", example: "on final {\n\tlog(\"tries\", min(call.attempts, 3))\n}"},
+	{name: "max", args: []Type{tyInt, tyInt}, result: tyInt, op: opMaxI, doc: "The greater of two ints.", example: "on final {\n\tlog(\"tries\", max(call.attempts, 1))\n}"},
+	{name: "int", args: []Type{tyFloat}, result: tyInt, op: opFloatToInt, doc: "Whole part of a float.", example: "on final {\n\tlog(\"n\", int(2.5))\n}"},
+	{name: "float", args: []Type{tyInt}, result: tyFloat, op: opIntToFloat, doc: "An int as float.", example: "on final {\n\tlog(\"share\", float(call.attempts) / 4.0)\n}"},
+	{name: "text", args: []Type{tyNone}, result: tyString, op: opText, doc: "Any int, float, bool, duration or string as string.", example: "on final {\n\ttag(\"via \" + text(result.via))\n}"},
+	{name: "seconds", args: []Type{tyDuration}, result: tyFloat, op: opSeconds, doc: "A duration in seconds.", example: "on final {\n\tlog(\"s\", seconds(result.after))\n}"},
 	{object: "rate", name: "add", args: []Type{tyString}, op: opRateAdd, doc: "Counts one for a key.",
-		sample: "rate calls(window 10s, keys 500)\non arrival {\n\tcalls.add(call.called)\n}"},
+		example: "rate calls(window 10s, keys 500)\non arrival {\n\tcalls.add(call.called)\n}"},
 	{object: "rate", name: "per_second", args: []Type{tyString}, result: tyFloat, op: opRateGet, doc: "Rate of a key over the window. When more keys come than it has room for, the slowest are forgotten.",
-		sample: "rate calls(window 10s)\non arrival {\n\tcalls.add(call.called)\n\tif calls.per_second(call.called) > 20.0 {\n\t\trefuse(42)\n\t}\n}"},
-	{object: "top", name: "add", args: []Type{tyString}, op: opTopAdd, doc: "Counts one for a key.", sample: "top talkers(keys 100)\non arrival {\n\ttalkers.add(call.calling)\n}"},
+		example: "rate calls(window 10s)\non arrival {\n\tcalls.add(call.called)\n\tif calls.per_second(call.called) > 20.0 {\n\t\trefuse(42)\n\t}\n}"},
+	{object: "top", name: "add", args: []Type{tyString}, op: opTopAdd, doc: "Counts one for a key.", example: "top talkers(keys 100)\non arrival {\n\ttalkers.add(call.calling)\n}"},
 	{object: "top", name: "count", args: []Type{tyString}, result: tyInt, op: opTopCount, doc: "Count of a key, never too low and at most the whole divided by keys too high; 0 for one that is not kept.",
-		sample: "top talkers(keys 100)\non arrival {\n\ttalkers.add(call.calling)\n\tif talkers.count(call.calling) > 1000 {\n\t\ttag(\"talker\")\n\t}\n}"},
+		example: "top talkers(keys 100)\non arrival {\n\ttalkers.add(call.calling)\n\tif talkers.count(call.calling) > 1000 {\n\t\ttag(\"talker\")\n\t}\n}"},
 	{object: "top", name: "most", args: []Type{tyInt}, result: listOf(tyString), op: opTopMost, doc: "The keys counted most, the most first.",
-		sample: "top talkers(keys 100)\nevery 10s {\n\tfor k in talkers.most(3) {\n\t\tlog(\"talker\", k)\n\t}\n}"},
-	{object: "counter", name: "add", args: []Type{tyInt}, op: opCountAdd, doc: "Adds to the counter.", sample: "counter storms\non arrival {\n\tstorms.add(1)\n}"},
-	{object: "counter", name: "value", result: tyInt, op: opCountGet, doc: "The counter's value.", sample: "counter storms\nevery 5s {\n\tlog(\"storms\", storms.value())\n}"},
+		example: "top talkers(keys 100)\nevery 10s {\n\tfor k in talkers.most(3) {\n\t\tlog(\"talker\", k)\n\t}\n}"},
+	{object: "counter", name: "add", args: []Type{tyInt}, op: opCounterAdd, doc: "Adds to the counter.", example: "counter storms\non arrival {\n\tstorms.add(1)\n}"},
+	{object: "counter", name: "value", result: tyInt, op: opCounterGet, doc: "The counter's value.", example: "counter storms\nevery 5s {\n\tlog(\"storms\", storms.value())\n}"},
 }
 
 // Hook names.
--- a/script/check.go
+++ b/script/check.go
@@ -9,54 +9,54 @@
 
 // Bounds of a program.
 const (
-	maxVars       = 64
-	maxStates     = 32
-	maxFns        = 128
-	maxHooks      = 64
-	maxLocals     = 200 // of a function
-	maxCallDepth  = 16  // of functions that call functions
-	defaultSteps  = 5000
-	maxSteps      = 1_000_000
-	defaultMemory = 32 << 10
-	maxMemory     = 1 << 20
-	maxList       = 1024
+	maxVars             = 64
+	maxStates           = 32
+	maxFunctions        = 128
+	maxHooks            = 64
+	maxLocals           = 200 // of a function
+	maxCallDepth        = 16  // of functions that call functions
+	defaultSteps        = 5000
+	maxSteps            = 1_000_000
+	defaultMemoryOctets = 32 << 10
+	maxMemoryOctets     = 1 << 20
+	maxListLen          = 1024
 )
 
 // checker types a program. After a fault it goes on, so that all are told at once.
 type checker struct {
-	f      *file
-	errs   Errors
-	consts map[string]*constDecl
-	vars   map[string]*varDecl
-	states map[string]*stateDecl
-	fns    map[string]*fnDecl
-	hooks  []*hookDecl
-	all    map[string]Pos
-
-	scope  []map[string]*local
-	locals int
-	fn     *fnDecl
-	hook   *hookDecl
-	loops  int
-	warns  Errors
+	f        *file
+	errs     Errors
+	consts   map[string]*constDecl
+	vars     map[string]*varDecl
+	states   map[string]*stateDecl
+	fns      map[string]*fnDecl
+	hooks    []*hookDecl
+	declared map[string]Pos
+
+	scopes    []map[string]*local
+	locals    int
+	fn        *fnDecl
+	hook      *hookDecl
+	loopDepth int
+	warnings  Errors
 }
 
-func (c *checker) fail(p Pos, format string, args ...any) {
+func (c *checker) errorAt(p Pos, format string, args ...any) {
 	if len(c.errs) < maxErrors {
 		c.errs = append(c.errs, &Error{c.f.name, p, fmt.Sprintf(format, args...)})
 	}
 }
 
-func (c *checker) warn(p Pos, format string, args ...any) {
-	c.warns = append(c.warns, &Error{c.f.name, p, fmt.Sprintf(format, args...)})
+func (c *checker) warnAt(p Pos, format string, args ...any) {
+	c.warnings = append(c.warnings, &Error{c.f.name, p, fmt.Sprintf(format, args...)})
 }
 
 // near finds the known name that somebody may have meant.
-func near(name string, known []string) string {
-	best, least := "", 3
+func suggest(name string, known []string) string {
+	best, bestDistance := "", 3
 	for _, k := range known {
-		if d := distance(name, k); d < least && d < len(name) {
-			best, least = k, d
+		if dist := levenshtein(name, k); dist < bestDistance && dist < len(name) {
+			best, bestDistance = k, dist
 		}
 	}
 	if best == "" {
@@ -66,7 +66,7 @@
 }
 
 // distance is the Levenshtein distance of short words.
-func distance(a, b string) int {
+func levenshtein(a, b string) int {
 	if len(a) > 32 || len(b) > 32 {
 		return 99
 	}
@@ -75,14 +75,14 @@
 		row[j] = j
 	}
 	for i := range len(a) {
-		last := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			cost := last
+			cost := diagonal
 			if a[i] != b[j] {
 				cost++
 			}
-			last = row[j+1]
+			diagonal = row[j+1]
 			row[j+1] = min(cost, row[j]+1, row[j+1]+1)
 		}
 	}
@@ -91,7 +91,7 @@
 
 func check(f *file) (*checker, Errors) {
 	c := &checker{f: f, consts: map[string]*constDecl{}, vars: map[string]*varDecl{}, states: map[string]*stateDecl{},
-		fns: map[string]*fnDecl{}, all: map[string]Pos{}}
+		fns: map[string]*fnDecl{}, declared: map[string]Pos{}}
 	for _, d := range f.decls {
 		c.declare(d)
 	}
@@ -102,7 +102,7 @@
 		case *varDecl:
 			d.ty = c.constant(d.x, "the first value of a variable")
 			if d.ty.kind == kList || d.ty.kind == kMap || d.ty.kind == kPattern {
-				c.fail(d.pos, "a variable holds an int, float, bool, duration or string, no %v", d.ty)
+				c.errorAt(d.pos, "a variable holds an int, float, bool, duration or string, no %v", d.ty)
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 			c.hookBody(d)
 		}
 	}
-	c.recursion()
+	c.checkRecursion()
 	return c, c.errs
 }
 
@@ -134,7 +134,7 @@
 		name, c.fns[d.name] = d.name, d
 		for _, b := range builtins {
 			if b.object == "" && b.name == d.name {
-				c.fail(d.pos, "%s is a function of the language already", d.name)
+				c.errorAt(d.pos, "%s is a function of the language already", d.name)
 			}
 		}
 	case *hookDecl:
@@ -143,43 +143,43 @@
 		c.attributes(d)
 		return
 	}
-	if p, twice := c.all[name]; twice {
-		c.fail(d.at(), "%s is declared on line %d already", name, p.Line)
+	if p, twice := c.declared[name]; twice {
+		c.errorAt(d.at(), "%s is declared on line %d already", name, p.Line)
 	}
-	c.all[name] = d.at()
-	if len(c.vars) > maxVars || len(c.states) > maxStates || len(c.fns) > maxFns || len(c.hooks) > maxHooks {
-		c.fail(d.at(), "too many declarations: %d variables, %d rates, tops and counters, %d functions and %d hooks can be", maxVars, maxStates, maxFns, maxHooks)
+	c.declared[name] = d.at()
+	if len(c.vars) > maxVars || len(c.states) > maxStates || len(c.fns) > maxFunctions || len(c.hooks) > maxHooks {
+		c.errorAt(d.at(), "too many declarations: %d variables, %d rates, tops and counters, %d functions and %d hooks can be", maxVars, maxStates, maxFunctions, maxHooks)
 	}
 }
 
 func (c *checker) attributes(d *hookDecl) {
 	if !slices.Contains(HookNames, d.hook) {
-		c.fail(d.pos, "%q is no hook%s; %s can be", d.hook, near(d.hook, HookNames), strings.Join(HookNames[:5], ", "))
+		c.errorAt(d.pos, "%q is no hook%s; %s can be", d.hook, suggest(d.hook, HookNames), strings.Join(HookNames[:5], ", "))
 	}
 	if d.hook == Every && d.every < 1e9 {
-		c.fail(d.pos, "every %v; 1s is the least", d.every)
-	}
-	d.steps, d.memory = defaultSteps, defaultMemory
-	for _, a := range d.attrs {
-		switch v := a.value; {
-		case a.name == "failure" && v.kind == tName && (v.text == "refuse" || v.text == "default"):
-			d.refuse = v.text == "refuse"
-			if d.refuse && d.hook != Arrival {
-				c.fail(a.pos, "only an arrival can be refused when its hook fails")
+		c.errorAt(d.pos, "every %v; 1s is the least", d.every)
+	}
+	d.steps, d.memory = defaultSteps, defaultMemoryOctets
+	for _, attribute := range d.attrs {
+		switch v := attribute.value; {
+		case attribute.name == "failure" && v.kind == tName && (v.text == "refuse" || v.text == "default"):
+			d.refuseOnFailure = v.text == "refuse"
+			if d.refuseOnFailure && d.hook != Arrival {
+				c.errorAt(attribute.pos, "only an arrival can be refused when its hook fails")
 			}
-		case a.name == "steps" && v.kind == tInt && v.i >= 1 && v.i <= maxSteps:
+		case attribute.name == "steps" && v.kind == tInt && v.i >= 1 && v.i <= maxSteps:
 			d.steps = int(v.i)
-		case a.name == "memory" && v.kind == tInt && v.i >= 0 && v.i <= maxMemory:
+		case attribute.name == "memory" && v.kind == tInt && v.i >= 0 && v.i <= maxMemoryOctets:
 			d.memory = int(v.i)
 		default:
-			c.fail(a.pos, "@%s(%s) cannot be; @failure(default or refuse), @steps(1 to %d) and @memory(0 to %d) can", a.name, v.text, maxSteps, maxMemory)
+			c.errorAt(attribute.pos, "@%s(%s) cannot be; @failure(default or refuse), @steps(1 to %d) and @memory(0 to %d) can", attribute.name, v.text, maxSteps, maxMemoryOctets)
 		}
 	}
 }
 
 // constant types an expression of literals and earlier constants.
 func (c *checker) constant(x expr, what string) Type {
-	c.scope = []map[string]*local{{}}
+	c.scopes = []map[string]*local{{}}
 	t := c.expr(x)
 	var walk func(x expr)
 	walk = func(x expr) {
@@ -187,7 +187,7 @@
 		case *litExpr:
 		case *nameExpr:
 			if _, ok := x.ref.(*constDecl); !ok && x.ref != nil {
-				c.fail(x.pos, "%s can only use literals and constants", what)
+				c.errorAt(x.pos, "%s can only use literals and constants", what)
 			}
 		case *listExpr:
 			for _, e := range x.elems {
@@ -204,57 +204,57 @@
 			walk(x.x)
 			walk(x.y)
 		default:
-			c.fail(x.at(), "%s can only use literals and constants", what)
+			c.errorAt(x.at(), "%s can only use literals and constants", what)
 		}
 	}
 	walk(x)
-	c.scope = nil
+	c.scopes = nil
 	return t
 }
 
 func (c *checker) function(d *fnDecl) {
-	c.fn, c.hook, c.locals, c.loops = d, nil, 0, 0
-	c.scope = []map[string]*local{{}}
+	c.fn, c.hook, c.locals, c.loopDepth = d, nil, 0, 0
+	c.scopes = []map[string]*local{{}}
 	for _, p := range d.params {
-		v := c.bind(p.name, p.pos, p.ty)
+		v := c.declareLocal(p.name, p.pos, p.ty)
 		v.used = true
 		d.locals = append(d.locals, v)
 	}
 	c.block(d.body)
-	if d.result.kind != kNone && !ends(d.body) {
-		c.fail(d.body.end, "%s can end here without its %v", d.name, d.result)
+	if d.result.kind != kNone && !alwaysReturns(d.body) {
+		c.errorAt(d.body.end, "%s can end here without its %v", d.name, d.result)
 	}
-	c.fn, c.scope = nil, nil
+	c.fn, c.scopes = nil, nil
 }
 
 func (c *checker) hookBody(d *hookDecl) {
-	c.hook, c.locals, c.loops = d, 0, 0
-	c.scope = []map[string]*local{{}}
+	c.hook, c.locals, c.loopDepth = d, 0, 0
+	c.scopes = []map[string]*local{{}}
 	c.block(d.body)
-	c.hook, c.scope = nil, nil
+	c.hook, c.scopes = nil, nil
 }
 
 // ends tells whether a block returns or fails on every way through it.
-func ends(b *block) bool {
+func alwaysReturns(b *block) bool {
 	for _, s := range b.stmts {
 		switch s := s.(type) {
 		case *returnStmt, *failStmt:
 			return true
 		case *block:
-			if ends(s) {
+			if alwaysReturns(s) {
 				return true
 			}
 		case *ifStmt:
-			if ends(s.then) && s.els != nil && ends(&block{stmts: []stmt{s.els}}) {
+			if alwaysReturns(s.then) && s.els != nil && alwaysReturns(&block{stmts: []stmt{s.els}}) {
 				return true
 			}
 		case *matchStmt:
-			all, other := true, false
+			allReturn, hasElse := true, false
 			for _, a := range s.arms {
-				all = all && ends(a.body)
-				other = other || len(a.values) == 0
+				allReturn = allReturn && alwaysReturns(a.body)
+				hasElse = hasElse || len(a.values) == 0
 			}
-			if all && other {
+			if allReturn && hasElse {
 				return true
 			}
 		}
@@ -262,48 +262,48 @@
 	return false
 }
 
-func (c *checker) bind(name string, pos Pos, t Type) *local {
-	for _, s := range c.scope {
+func (c *checker) declareLocal(name string, pos Pos, t Type) *local {
+	for _, s := range c.scopes {
 		if o, ok := s[name]; ok {
-			c.fail(pos, "%s is bound on line %d already", name, o.pos.Line)
+			c.errorAt(pos, "%s is bound on line %d already", name, o.pos.Line)
 		}
 	}
-	if p, ok := c.all[name]; ok {
-		c.fail(pos, "%s is declared on line %d already", name, p.Line)
+	if p, ok := c.declared[name]; ok {
+		c.errorAt(pos, "%s is declared on line %d already", name, p.Line)
 	}
 	v := &local{name: name, pos: pos, ty: t}
-	c.scope[len(c.scope)-1][name] = v
+	c.scopes[len(c.scopes)-1][name] = v
 	if c.locals++; c.locals > maxLocals {
-		c.fail(pos, "more than %d values in one function", maxLocals)
+		c.errorAt(pos, "more than %d values in one function", maxLocals)
 	}
 	return v
 }
 
 func (c *checker) block(b *block) {
-	c.scope = append(c.scope, map[string]*local{})
-	stopped := false
+	c.scopes = append(c.scopes, map[string]*local{})
+	ended := false
 	for _, s := range b.stmts {
-		if stopped {
-			c.warn(s.at(), "this is never reached")
-			stopped = false
+		if ended {
+			c.warnAt(s.at(), "this is never reached")
+			ended = false
 		}
 		c.stmt(s)
 		switch s.(type) {
 		case *returnStmt, *failStmt, *breakStmt:
-			stopped = true
+			ended = true
 		}
 	}
-	for _, v := range c.scope[len(c.scope)-1] {
+	for _, v := range c.scopes[len(c.scopes)-1] {
 		if !v.used && !strings.HasPrefix(v.name, "_") {
-			c.warn(v.pos, "%s is never used", v.name)
+			c.warnAt(v.pos, "%s is never used", v.name)
 		}
 	}
-	c.scope = c.scope[:len(c.scope)-1]
+	c.scopes = c.scopes[:len(c.scopes)-1]
 }
 
-func (c *checker) want(x expr, t Type, what string) {
-	if got := c.expr(x); got.kind != kNone && !got.is(t) {
-		c.fail(x.at(), "%s is %v, not %v", what, got, t)
+func (c *checker) expectType(x expr, t Type, what string) {
+	if got := c.expr(x); got.kind != kNone && !got.compatibleWith(t) {
+		c.errorAt(x.at(), "%s is %v, not %v", what, got, t)
 	}
 }
 
@@ -313,14 +313,14 @@
 		c.block(s)
 	case *letStmt:
 		t := c.expr(s.x)
-		if t.kind == kNone && !c.failed() {
-			c.fail(s.x.at(), "this has no value")
+		if t.kind == kNone && !c.hasErrors() {
+			c.errorAt(s.x.at(), "this has no value")
 		}
-		s.v = c.bind(s.name, s.pos, t)
+		s.v = c.declareLocal(s.name, s.pos, t)
 	case *assignStmt:
 		c.assign(s)
 	case *ifStmt:
-		c.want(s.cond, tyBool, "the condition")
+		c.expectType(s.cond, tyBool, "the condition")
 		c.block(s.then)
 		if s.els != nil {
 			c.stmt(s.els)
@@ -328,53 +328,53 @@
 	case *forStmt:
 		var t Type
 		if s.to != nil {
-			c.want(s.from, tyInt, "the begin of the range")
-			c.want(s.to, tyInt, "the end of the range")
+			c.expectType(s.from, tyInt, "the begin of the range")
+			c.expectType(s.to, tyInt, "the end of the range")
 			t = tyInt
 		} else {
 			l := c.expr(s.from)
 			if l.kind == kList && l.elem != nil {
 				t = *l.elem
 			} else if l.kind != kNone {
-				c.fail(s.from.at(), "a loop goes over a range or a list, not over %v", l)
+				c.errorAt(s.from.at(), "a loop goes over a range or a list, not over %v", l)
 			}
 		}
-		c.scope = append(c.scope, map[string]*local{})
-		s.v = c.bind(s.name, s.pos, t)
-		s.v.fix, s.v.used = true, true
-		c.loops++
+		c.scopes = append(c.scopes, map[string]*local{})
+		s.v = c.declareLocal(s.name, s.pos, t)
+		s.v.readOnly, s.v.used = true, true
+		c.loopDepth++
 		c.block(s.body)
-		c.loops--
-		c.scope = c.scope[:len(c.scope)-1]
+		c.loopDepth--
+		c.scopes = c.scopes[:len(c.scopes)-1]
 	case *matchStmt:
 		c.match(s)
 	case *returnStmt:
 		switch {
 		case c.fn == nil && s.x != nil:
-			c.fail(s.pos, "a hook returns nothing")
+			c.errorAt(s.pos, "a hook returns nothing")
 			c.expr(s.x)
 		case c.fn != nil && s.x == nil && c.fn.result.kind != kNone:
-			c.fail(s.pos, "%s returns %v", c.fn.name, c.fn.result)
+			c.errorAt(s.pos, "%s returns %v", c.fn.name, c.fn.result)
 		case c.fn != nil && s.x != nil && c.fn.result.kind == kNone:
-			c.fail(s.pos, "%s returns nothing", c.fn.name)
+			c.errorAt(s.pos, "%s returns nothing", c.fn.name)
 		case s.x != nil:
-			c.want(s.x, c.fn.result, "what is returned")
+			c.expectType(s.x, c.fn.result, "what is returned")
 		}
 	case *breakStmt:
-		if c.loops == 0 {
-			c.fail(s.pos, "there is no loop around this")
+		if c.loopDepth == 0 {
+			c.errorAt(s.pos, "there is no loop around this")
 		}
 	case *failStmt:
-		c.want(s.x, tyString, "the reason")
+		c.expectType(s.x, tyString, "the reason")
 	case *exprStmt:
 		if _, call := s.x.(*callExpr); !call {
-			c.fail(s.pos, "this does nothing; a statement is a call, an assignment, let, if, for, match, return, break, continue or fail")
+			c.errorAt(s.pos, "this does nothing; a statement is a call, an assignment, let, if, for, match, return, break, continue or fail")
 		}
 		c.expr(s.x)
 	}
 }
 
-func (c *checker) failed() bool { return len(c.errs) > 0 }
+func (c *checker) hasErrors() bool { return len(c.errs) > 0 }
 
 func (c *checker) assign(s *assignStmt) {
 	switch to := s.to.(type) {
@@ -382,25 +382,25 @@
 		t := c.expr(to)
 		switch r := to.ref.(type) {
 		case *local:
-			if r.fix {
-				c.fail(s.pos, "%s belongs to the loop and cannot be assigned", to.name)
+			if r.readOnly {
+				c.errorAt(s.pos, "%s belongs to the loop and cannot be assigned", to.name)
 			}
 		case *varDecl:
 			if c.fn != nil || c.hook != nil && c.hook.hook != Every && c.hook.hook != ListChange {
-				c.fail(s.pos, "a variable is set in every and list_change hooks only; use rate, top or counter between calls")
+				c.errorAt(s.pos, "a variable is set in every and list_change hooks only; use rate, top or counter between calls")
 			}
 		case *constDecl:
-			c.fail(s.pos, "%s is a constant", to.name)
+			c.errorAt(s.pos, "%s is a constant", to.name)
 		}
-		c.want(s.x, t, "the assigned value")
+		c.expectType(s.x, t, "the assigned value")
 	case *indexExpr:
 		t := c.expr(to)
-		if constRoot(to.x) {
-			c.fail(s.pos, "this is part of a constant")
+		if inConstant(to.x) {
+			c.errorAt(s.pos, "this is part of a constant")
 		}
-		c.want(s.x, t, "the assigned value")
+		c.expectType(s.x, t, "the assigned value")
 	default:
-		c.fail(s.pos, "only a name or an element can be assigned")
+		c.errorAt(s.pos, "only a name or an element can be assigned")
 		c.expr(s.x)
 	}
 }
@@ -410,28 +410,28 @@
 	switch t.kind {
 	case kInt, kString, kDuration, kNone, kBool:
 	default:
-		c.fail(s.x.at(), "match looks at an int, bool, duration or string, not at %v", t)
+		c.errorAt(s.x.at(), "match looks at an int, bool, duration or string, not at %v", t)
 	}
 	if len(s.arms) == 0 {
-		c.fail(s.pos, "this match has no arms")
+		c.errorAt(s.pos, "this match has no arms")
 	}
 	for i, a := range s.arms {
 		if len(a.values) == 0 && i < len(s.arms)-1 {
-			c.fail(a.pos, "else belongs last")
+			c.errorAt(a.pos, "else belongs last")
 		}
 		for j, v := range a.values {
 			got := c.expr(v)
-			if a.tops[j] != nil {
-				c.want(a.tops[j], t, "the end of the range")
+			if a.rangeEnds[j] != nil {
+				c.expectType(a.rangeEnds[j], t, "the end of the range")
 				if t.kind != kInt && t.kind != kDuration && t.kind != kNone {
-					c.fail(v.at(), "a range of %v cannot be", t)
+					c.errorAt(v.at(), "a range of %v cannot be", t)
 				}
 			}
 			if t.kind == kString && got.kind == kPattern {
 				continue
 			}
-			if got.kind != kNone && !got.is(t) {
-				c.fail(v.at(), "this is %v, the matched value %v", got, t)
+			if got.kind != kNone && !got.compatibleWith(t) {
+				c.errorAt(v.at(), "this is %v, the matched value %v", got, t)
 			}
 		}
 		c.block(a.body)
@@ -464,7 +464,7 @@
 		switch {
 		case t.kind == kNone:
 		case x.op == "not" && t.kind != kBool, x.op == "-" && t.kind != kInt && t.kind != kFloat && t.kind != kDuration:
-			c.fail(x.pos, "%s cannot be used on %v", x.op, t)
+			c.errorAt(x.pos, "%s cannot be used on %v", x.op, t)
 		default:
 			x.ty = t
 		}
@@ -474,12 +474,12 @@
 		t := c.expr(x.x)
 		switch t.kind {
 		case kList:
-			c.want(x.i, tyInt, "the index")
+			c.expectType(x.i, tyInt, "the index")
 		case kMap:
-			c.want(x.i, tyString, "the key")
+			c.expectType(x.i, tyString, "the key")
 		default:
 			if t.kind != kNone {
-				c.fail(x.pos, "%v has no elements", t)
+				c.errorAt(x.pos, "%v has no elements", t)
 			}
 			c.expr(x.i)
 			return x.ty
@@ -493,30 +493,30 @@
 			t := c.expr(y)
 			if i == 0 {
 				e = t
-			} else if t.kind != kNone && !t.is(e) {
-				c.fail(y.at(), "an element of %v in a list of %v", t, e)
+			} else if t.kind != kNone && !t.compatibleWith(e) {
+				c.errorAt(y.at(), "an element of %v in a list of %v", t, e)
 			}
 		}
 		if len(x.elems) == 0 {
-			c.fail(x.pos, "an empty list has no type; begin with one element")
+			c.errorAt(x.pos, "an empty list has no type; begin with one element")
 		}
-		if len(x.elems) > maxList {
-			c.fail(x.pos, "a list of %d elements; %d can be", len(x.elems), maxList)
+		if len(x.elems) > maxListLen {
+			c.errorAt(x.pos, "a list of %d elements; %d can be", len(x.elems), maxListLen)
 		}
 		x.ty = listOf(e)
 	case *mapExpr:
 		var e Type
 		for i := range x.keys {
-			c.want(x.keys[i], tyString, "a key")
+			c.expectType(x.keys[i], tyString, "a key")
 			t := c.expr(x.values[i])
 			if i == 0 {
 				e = t
-			} else if t.kind != kNone && !t.is(e) {
-				c.fail(x.values[i].at(), "a value of %v in a map of %v", t, e)
+			} else if t.kind != kNone && !t.compatibleWith(e) {
+				c.errorAt(x.values[i].at(), "a value of %v in a map of %v", t, e)
 			}
 		}
 		if len(x.keys) == 0 {
-			c.fail(x.pos, "an empty map has no type; begin with one element")
+			c.errorAt(x.pos, "an empty map has no type; begin with one element")
 		}
 		x.ty = mapOf(e)
 	case *callExpr:
@@ -526,16 +526,16 @@
 }
 
 func (c *checker) name(x *nameExpr) Type {
-	for i := len(c.scope) - 1; i >= 0; i-- {
-		if v, ok := c.scope[i][x.name]; ok {
+	for i := len(c.scopes) - 1; i >= 0; i-- {
+		if v, ok := c.scopes[i][x.name]; ok {
 			v.used = true
 			x.ref = v
 			return v.ty
 		}
 	}
 	if d, ok := c.consts[x.name]; ok {
-		if d.ty.kind == kNone && !c.failed() {
-			c.fail(x.pos, "%s is declared further down, on line %d", x.name, d.pos.Line)
+		if d.ty.kind == kNone && !c.hasErrors() {
+			c.errorAt(x.pos, "%s is declared further down, on line %d", x.name, d.pos.Line)
 		}
 		d.used = true
 		x.ref = d
@@ -547,18 +547,18 @@
 		return d.ty
 	}
 	var known []string
-	for _, s := range c.scope {
+	for _, s := range c.scopes {
 		known = append(known, slices.Collect(maps.Keys(s))...)
 	}
 	known = append(append(known, slices.Collect(maps.Keys(c.consts))...), slices.Collect(maps.Keys(c.vars))...)
 	slices.Sort(known)
-	c.fail(x.pos, "%s is not known here%s", x.name, near(x.name, known))
+	c.errorAt(x.pos, "%s is not known here%s", x.name, suggest(x.name, known))
 	return tyNone
 }
 
 func (c *checker) field(x *fieldExpr) Type {
 	if c.hook == nil {
-		c.fail(x.pos, "%s.%s can only be read in a hook; hand it to the function", x.object, x.name)
+		c.errorAt(x.pos, "%s.%s can only be read in a hook; hand it to the function", x.object, x.name)
 		return tyNone
 	}
 	var names, objects []string
@@ -573,9 +573,9 @@
 		}
 	}
 	if len(names) == 0 {
-		c.fail(x.pos, "%s is nothing that %s has%s", x.object, c.hook.hook, near(x.object, objects))
+		c.errorAt(x.pos, "%s is nothing that %s has%s", x.object, c.hook.hook, suggest(x.object, objects))
 	} else {
-		c.fail(x.pos, "%s has no %s%s", x.object, x.name, near(x.name, names))
+		c.errorAt(x.pos, "%s has no %s%s", x.object, x.name, suggest(x.name, names))
 	}
 	return tyNone
 }
@@ -589,7 +589,7 @@
 		}
 		return tyNone
 	}
-	same := a.is(b)
+	same := a.compatibleWith(b)
 	num := a.kind == kInt || a.kind == kFloat || a.kind == kDuration
 	switch x.op {
 	case "and", "or":
@@ -609,7 +609,7 @@
 			return tyBool
 		}
 	case "in":
-		if b.kind == kMap && a.kind == kString || b.kind == kList && b.elem != nil && a.is(*b.elem) && (num || a.kind == kString || a.kind == kBool) {
+		if b.kind == kMap && a.kind == kString || b.kind == kList && b.elem != nil && a.compatibleWith(*b.elem) && (num || a.kind == kString || a.kind == kBool) {
 			return tyBool
 		}
 	case "+":
@@ -640,7 +640,7 @@
 	if a.kind == kInt && b.kind == kFloat || a.kind == kFloat && b.kind == kInt {
 		hint = "; float() makes the int one"
 	}
-	c.fail(x.pos, "%v %s %v cannot be%s", a, x.op, b, hint)
+	c.errorAt(x.pos, "%v %s %v cannot be%s", a, x.op, b, hint)
 	return tyNone
 }
 
@@ -657,11 +657,11 @@
 			c.hook.calls[d] = x.pos
 		}
 		if len(x.args) != len(d.params) {
-			c.fail(x.pos, "%s takes %d arguments, not %d", x.name, len(d.params), len(x.args))
+			c.errorAt(x.pos, "%s takes %d arguments, not %d", x.name, len(d.params), len(x.args))
 		}
 		for i, a := range x.args {
 			if i < len(d.params) {
-				c.want(a, d.params[i].ty, d.params[i].name)
+				c.expectType(a, d.params[i].ty, d.params[i].name)
 			} else {
 				c.expr(a)
 			}
@@ -679,7 +679,7 @@
 		}
 	}
 	slices.Sort(known)
-	c.fail(x.pos, "there is no function %s%s", x.name, near(x.name, known))
+	c.errorAt(x.pos, "there is no function %s%s", x.name, suggest(x.name, known))
 	for _, a := range x.args {
 		c.expr(a)
 	}
@@ -689,31 +689,31 @@
 func (c *checker) method(x *callExpr) Type {
 	d, ok := c.states[x.object]
 	if !ok {
-		c.fail(x.pos, "there is no rate, top or counter %s%s", x.object, near(x.object, slices.Sorted(maps.Keys(c.states))))
+		c.errorAt(x.pos, "there is no rate, top or counter %s%s", x.object, suggest(x.object, slices.Sorted(maps.Keys(c.states))))
 		return tyNone
 	}
 	d.used = true
 	x.state = d
 	var known []string
 	for _, b := range builtins {
-		if b.object == d.what {
+		if b.object == d.keyword {
 			if b.name == x.name {
 				return c.builtin(x, b)
 			}
 			known = append(known, b.name)
 		}
 	}
-	c.fail(x.pos, "a %s has no %s; %s can be", d.what, x.name, strings.Join(known, ", "))
+	c.errorAt(x.pos, "a %s has no %s; %s can be", d.keyword, x.name, strings.Join(known, ", "))
 	return tyNone
 }
 
 func (c *checker) builtin(x *callExpr, b *builtin) Type {
-	x.built = b
+	x.builtinFunc = b
 	if len(b.hooks) > 0 && (c.hook == nil || !slices.Contains(b.hooks, c.hook.hook)) {
-		c.fail(x.pos, "%s can only be used in %s hooks", b.name, strings.Join(b.hooks, " and "))
+		c.errorAt(x.pos, "%s can only be used in %s hooks", b.name, strings.Join(b.hooks, " and "))
 	}
 	if len(x.args) != len(b.args) {
-		c.fail(x.pos, "%s takes %d arguments, not %d", b.name, len(b.args), len(x.args))
+		c.errorAt(x.pos, "%s takes %d arguments, not %d", b.name, len(b.args), len(x.args))
 	}
 	var types []Type
 	for i, a := range x.args {
@@ -726,8 +726,8 @@
 		if w.kind == kNone || (w.kind == kList || w.kind == kMap) && w.elem == nil && t.kind == w.kind {
 			continue
 		}
-		if !t.is(w) {
-			c.fail(a.at(), "%s takes %v, not %v", b.name, w, t)
+		if !t.compatibleWith(w) {
+			c.errorAt(a.at(), "%s takes %v, not %v", b.name, w, t)
 		}
 	}
 	if len(types) != len(b.args) {
@@ -736,53 +736,53 @@
 	switch b.op {
 	case opLen:
 		if t := types[0].kind; t != kString && t != kList && t != kMap && t != kNone {
-			c.fail(x.pos, "%v has no length", types[0])
+			c.errorAt(x.pos, "%v has no length", types[0])
 		}
 	case opAppend:
-		if l := types[0]; l.elem != nil && types[1].kind != kNone && !types[1].is(*l.elem) {
-			c.fail(x.pos, "an element of %v in a list of %v", types[1], *l.elem)
+		if l := types[0]; l.elem != nil && types[1].kind != kNone && !types[1].compatibleWith(*l.elem) {
+			c.errorAt(x.pos, "an element of %v in a list of %v", types[1], *l.elem)
 		}
-		if constRoot(x.args[0]) {
-			c.fail(x.pos, "this is part of a constant")
+		if inConstant(x.args[0]) {
+			c.errorAt(x.pos, "this is part of a constant")
 		}
 	case opText, opLog:
 		if t := types[len(types)-1]; t.kind >= kPattern {
-			c.fail(x.pos, "%v has no text", t)
+			c.errorAt(x.pos, "%v has no text", t)
 		}
-	case opTreat, opRefuse:
+	case opTreatAs, opRefuse:
 		if l, ok := x.args[0].(*litExpr); ok {
-			if b.op == opTreat && !Treatable(l.tok.i) || b.op == opRefuse && (l.tok.i < 1 || l.tok.i > 127) {
-				c.fail(l.pos, "%s(%d) cannot be", b.name, l.tok.i)
+			if b.op == opTreatAs && !ValidTreatAs(l.tok.i) || b.op == opRefuse && (l.tok.i < 1 || l.tok.i > 127) {
+				c.errorAt(l.pos, "%s(%d) cannot be", b.name, l.tok.i)
 			}
 		}
 	}
 	return b.result
 }
 
-// Treatable tells whether an attempt's cause may be read as this one: busy, no circuit, temporary failure, congestion.
-func Treatable(cause int64) bool { return cause == 17 || cause == 34 || cause == 41 || cause == 42 }
+// ValidTreatAs tells whether an attempt's cause may be read as this one: busy, no circuit, temporary failure, congestion.
+func ValidTreatAs(cause int64) bool { return cause == 17 || cause == 34 || cause == 41 || cause == 42 }
 
 // recursion finds functions that call themselves, and chains that are too long.
-func (c *checker) recursion() {
+func (c *checker) checkRecursion() {
 	depth := map[*fnDecl]int{}
-	const busy = -1
+	const visiting = -1
 	var walk func(d *fnDecl) int
 	walk = func(d *fnDecl) int {
-		if k, seen := depth[d]; seen {
-			if k == busy {
-				c.fail(d.pos, "%s calls itself, straight or by others; that cannot be", d.name)
+		if known, seen := depth[d]; seen {
+			if known == visiting {
+				c.errorAt(d.pos, "%s calls itself, straight or by others; that cannot be", d.name)
 				return 0
 			}
-			return k
+			return known
 		}
-		depth[d] = busy
-		most := 0
+		depth[d] = visiting
+		deepest := 0
 		for _, e := range sortedCalls(d.calls) {
-			most = max(most, walk(e))
+			deepest = max(deepest, walk(e))
 		}
-		depth[d] = most + 1
+		depth[d] = deepest + 1
 		if depth[d] == maxCallDepth+1 {
-			c.fail(d.pos, "functions call functions deeper than %d", maxCallDepth)
+			c.errorAt(d.pos, "functions call functions deeper than %d", maxCallDepth)
 		}
 		return depth[d]
 	}
--- a/script/event.go
+++ b/script/event.go
@@ -19,14 +19,14 @@
 func CallEvent(c Call) Event {
 	var e Event
 	e.S[0], e.S[1], e.S[2], e.S[3] = c.Called, c.Calling, c.Class, c.Tenant
-	e.N[0], e.N[1], e.N[2], e.N[3], e.N[4] = int64(c.Category), truth(c.Transit), int64(c.To), int64(c.Attempts), int64(c.Age)
+	e.N[0], e.N[1], e.N[2], e.N[3], e.N[4] = int64(c.Category), boolToInt(c.Transit), int64(c.To), int64(c.Attempts), int64(c.Age)
 	return e
 }
 
 // AttemptEndEvent is the event of an attempt_end hook.
 func AttemptEndEvent(c Call, cause, exchange int, direct bool, after time.Duration) Event {
 	e := CallEvent(c)
-	e.N[5], e.N[6], e.N[7], e.N[8] = int64(cause), int64(exchange), truth(direct), int64(after)
+	e.N[5], e.N[6], e.N[7], e.N[8] = int64(cause), int64(exchange), boolToInt(direct), int64(after)
 	return e
 }
 
@@ -41,14 +41,14 @@
 // ListEvent is the event of a list_change hook.
 func ListEvent(code int, state string, cold bool) Event {
 	var e Event
-	e.N[0], e.N[1], e.S[0] = int64(code), truth(cold), state
+	e.N[0], e.N[1], e.S[0] = int64(code), boolToInt(cold), state
 	return e
 }
 
 // EveryEvent is the event of an every hook.
-func EveryEvent(waiting, open int, offered, stood, refused, timedOut uint64) Event {
+func EveryEvent(waiting, open int, offered, established, refused, timedOut uint64) Event {
 	var e Event
-	e.N[0], e.N[1], e.N[2], e.N[3], e.N[4], e.N[5] = int64(waiting), int64(open), int64(offered), int64(stood), int64(refused), int64(timedOut)
+	e.N[0], e.N[1], e.N[2], e.N[3], e.N[4], e.N[5] = int64(waiting), int64(open), int64(offered), int64(established), int64(refused), int64(timedOut)
 	return e
 }
 
@@ -66,28 +66,28 @@
 			for _, f := range known {
 				names = append(names, f.object+"."+f.name)
 			}
-			return e, fmt.Errorf("%s has no %s%s", hook, name, near(name, names))
+			return e, fmt.Errorf("%s has no %s%s", hook, name, suggest(name, names))
 		}
 		f := known[i]
-		bad := fmt.Errorf("%s is %v, not %v", name, v, f.ty)
+		typeError := fmt.Errorf("%s is %v, not %v", name, v, f.ty)
 		switch f.ty.kind {
 		case kString:
 			s, ok := v.(string)
 			if !ok {
-				return e, bad
+				return e, typeError
 			}
 			e.S[f.slot] = s
 		case kBool:
 			b, ok := v.(bool)
 			if !ok {
-				return e, bad
+				return e, typeError
 			}
-			e.N[f.slot] = truth(b)
+			e.N[f.slot] = boolToInt(b)
 		case kDuration:
 			s, ok := v.(string)
 			d, err := time.ParseDuration(s)
 			if !ok || err != nil {
-				return e, bad
+				return e, typeError
 			}
 			e.N[f.slot] = int64(d)
 		default:
@@ -99,7 +99,7 @@
 			case uint64:
 				e.N[f.slot] = int64(n)
 			default:
-				return e, bad
+				return e, typeError
 			}
 		}
 	}
--- a/script/format.go
+++ b/script/format.go
@@ -12,7 +12,7 @@
 	var b strings.Builder
 	var line []token
 	depth, empty := 0, 0
-	var open []bool // brackets that are open; true: a block's brace
+	var openBlocks []bool // brackets that are open; true: a block's brace
 	for _, t := range toks {
 		if t.kind != tNewline && t.kind != tEOF {
 			line = append(line, t)
@@ -22,17 +22,17 @@
 			empty++
 			continue
 		}
-		if empty > 0 && b.Len() > 0 && !strings.HasSuffix(b.String(), "{\n") && !closing(line[0]) {
+		if empty > 0 && b.Len() > 0 && !strings.HasSuffix(b.String(), "{\n") && !isClosingBracket(line[0]) {
 			b.WriteByte('\n')
 		}
 		empty = 0
 		indent := depth
-		for i := 0; i < len(line) && closing(line[i]); i++ {
+		for i := 0; i < len(line) && isClosingBracket(line[i]); i++ {
 			indent--
 		}
 		b.WriteString(strings.Repeat("\t", max(0, indent)))
 		for i, t := range line {
-			if i > 0 && spaced(line, i, open) {
+			if i > 0 && spaceBefore(line, i, openBlocks) {
 				b.WriteByte(' ')
 			}
 			if t.kind == tComment {
@@ -44,10 +44,10 @@
 				switch t.text {
 				case "{", "(", "[":
 					depth++
-					open = append(open, t.text == "{" && !mapBrace(line, i))
+					openBlocks = append(openBlocks, t.text == "{" && !beginsMap(line, i))
 				case "}", ")", "]":
 					depth--
-					open = open[:max(0, len(open)-1)]
+					openBlocks = openBlocks[:max(0, len(openBlocks)-1)]
 				}
 			}
 		}
@@ -57,12 +57,12 @@
 	return b.String(), nil
 }
 
-func closing(t token) bool {
+func isClosingBracket(t token) bool {
 	return t.kind == tPunct && (t.text == "}" || t.text == ")" || t.text == "]")
 }
 
 // mapBrace tells that a brace begins a map and not a block: it stands where a value does.
-func mapBrace(line []token, i int) bool {
+func beginsMap(line []token, i int) bool {
 	if i == 0 {
 		return false
 	}
@@ -74,7 +74,7 @@
 }
 
 // spaced tells whether a space stands before the token at i of a line. open are the brackets open there.
-func spaced(line []token, i int, open []bool) bool {
+func spaceBefore(line []token, i int, openBlocks []bool) bool {
 	a, b := line[i-1], line[i]
 	if b.kind == tComment {
 		return true
@@ -87,7 +87,7 @@
 		return false
 	case punct(a, " .. "), punct(b, " .. "):
 		return false
-	case punct(a, " - ") && unaryAt(line, i-1):
+	case punct(a, " - ") && isUnaryMinus(line, i-1):
 		return false
 	case punct(b, " ( "):
 		// A call or a declaration has its bracket right behind its name; a group stands apart.
@@ -95,15 +95,15 @@
 	case punct(b, " [ "):
 		return !(a.kind == tName && !keywords[a.text] || punct(a, " ] ) "))
 	case punct(a, " { "):
-		return !mapBrace(line, i-1)
+		return !beginsMap(line, i-1)
 	case punct(b, " } "):
-		return len(open) == 0 || open[len(open)-1]
+		return len(openBlocks) == 0 || openBlocks[len(openBlocks)-1]
 	}
 	return true
 }
 
 // unaryAt tells that the minus at i has no left side.
-func unaryAt(line []token, i int) bool {
+func isUnaryMinus(line []token, i int) bool {
 	if i == 0 {
 		return true
 	}
--- a/script/lint.go
+++ b/script/lint.go
@@ -8,21 +8,21 @@
 )
 
 // manyTimes is how often a loop over a list of unknown length is counted for Cost.
-const manyTimes = maxList
+const assumedListLen = maxListLen
 
 // costs computes what each hook costs at the worst by its text: loops by their literal bounds or the longest list.
-func (g *gen) costs(order []*fnDecl) {
+func (g *generator) computeCosts(order []*fnDecl) {
 	known := map[*fnDecl]int{}
 	var fn func(d *fnDecl) int
 	fn = func(d *fnDecl) int {
 		if k, ok := known[d]; ok {
 			return k
 		}
-		known[d] = cost(d.body, fn)
+		known[d] = blockCost(d.body, fn)
 		return known[d]
 	}
-	for i, d := range g.c.hooks {
-		g.p.Hooks[i].Cost = cost(d.body, fn)
+	for i, d := range g.checked.hooks {
+		g.p.Hooks[i].Cost = blockCost(d.body, fn)
 	}
 	_ = order
 }
@@ -30,43 +30,43 @@
 const unbounded = -1
 
 // add adds costs; unbounded stays so.
-func add(a, b int) int {
+func addCost(a, b int) int {
 	if a == unbounded || b == unbounded || a+b > 1<<40 {
 		return unbounded
 	}
 	return a + b
 }
 
-func times(a, n int) int {
+func multiplyCost(a, n int) int {
 	if a == unbounded || n == unbounded || n > 0 && a > 1<<40/n {
 		return unbounded
 	}
 	return a * n
 }
 
-func cost(b *block, fn func(*fnDecl) int) int {
+func blockCost(b *block, fn func(*fnDecl) int) int {
 	sum := 1
 	for _, s := range b.stmts {
 		switch s := s.(type) {
 		case *block:
-			sum = add(sum, cost(s, fn))
+			sum = addCost(sum, blockCost(s, fn))
 		case *letStmt:
-			sum = add(sum, costOf(s.x, fn))
+			sum = addCost(sum, exprCost(s.x, fn))
 		case *assignStmt:
-			sum = add(sum, add(costOf(s.to, fn), costOf(s.x, fn)))
+			sum = addCost(sum, addCost(exprCost(s.to, fn), exprCost(s.x, fn)))
 		case *ifStmt:
-			most := cost(s.then, fn)
+			worst := blockCost(s.then, fn)
 			if s.els != nil {
-				if e := cost(&block{stmts: []stmt{s.els}}, fn); e == unbounded || most != unbounded && e > most {
-					most = e
+				if e := blockCost(&block{stmts: []stmt{s.els}}, fn); e == unbounded || worst != unbounded && e > worst {
+					worst = e
 				}
 			}
-			sum = add(sum, add(costOf(s.cond, fn), most))
+			sum = addCost(sum, addCost(exprCost(s.cond, fn), worst))
 		case *forStmt:
-			n := manyTimes
+			n := assumedListLen
 			if s.to != nil {
-				from, ok1 := literal(s.from)
-				to, ok2 := literal(s.to)
+				from, ok1 := literalInt(s.from)
+				to, ok2 := literalInt(s.to)
 				if n = unbounded; ok1 && ok2 {
 					n = int(max(0, to-from))
 				}
@@ -79,80 +79,80 @@
 					}
 				}
 			}
-			sum = add(sum, add(costOf(s.from, fn), times(add(2, cost(s.body, fn)), n)))
+			sum = addCost(sum, addCost(exprCost(s.from, fn), multiplyCost(addCost(2, blockCost(s.body, fn)), n)))
 		case *matchStmt:
-			sum = add(sum, costOf(s.x, fn))
-			most := 0
+			sum = addCost(sum, exprCost(s.x, fn))
+			worst := 0
 			for _, a := range s.arms {
 				for _, v := range a.values {
-					sum = add(sum, add(1, costOf(v, fn)))
+					sum = addCost(sum, addCost(1, exprCost(v, fn)))
 				}
-				if k := cost(a.body, fn); k == unbounded || most != unbounded && k > most {
-					most = k
+				if k := blockCost(a.body, fn); k == unbounded || worst != unbounded && k > worst {
+					worst = k
 				}
 			}
-			sum = add(sum, most)
+			sum = addCost(sum, worst)
 		case *returnStmt:
 			if s.x != nil {
-				sum = add(sum, costOf(s.x, fn))
+				sum = addCost(sum, exprCost(s.x, fn))
 			}
 		case *failStmt:
-			sum = add(sum, costOf(s.x, fn))
+			sum = addCost(sum, exprCost(s.x, fn))
 		case *exprStmt:
-			sum = add(sum, costOf(s.x, fn))
+			sum = addCost(sum, exprCost(s.x, fn))
 		}
-		sum = add(sum, 2)
+		sum = addCost(sum, 2)
 	}
 	return sum
 }
 
-func literal(x expr) (int64, bool) {
+func literalInt(x expr) (int64, bool) {
 	switch x := x.(type) {
 	case *litExpr:
 		return x.tok.i, x.tok.kind == tInt
 	case *nameExpr:
 		if d, ok := x.ref.(*constDecl); ok {
-			return literal(d.x)
+			return literalInt(d.x)
 		}
 	}
 	return 0, false
 }
 
-func costOf(x expr, fn func(*fnDecl) int) int {
+func exprCost(x expr, fn func(*fnDecl) int) int {
 	sum := 1
 	switch x := x.(type) {
 	case *unaryExpr:
-		sum = add(sum, costOf(x.x, fn))
+		sum = addCost(sum, exprCost(x.x, fn))
 	case *binaryExpr:
-		sum = add(sum, add(costOf(x.x, fn), costOf(x.y, fn)))
+		sum = addCost(sum, addCost(exprCost(x.x, fn), exprCost(x.y, fn)))
 		if x.op == "in" {
-			sum = add(sum, manyTimes)
+			sum = addCost(sum, assumedListLen)
 		}
 	case *indexExpr:
-		sum = add(sum, add(costOf(x.x, fn), costOf(x.i, fn)))
+		sum = addCost(sum, addCost(exprCost(x.x, fn), exprCost(x.i, fn)))
 	case *listExpr:
 		for _, e := range x.elems {
-			sum = add(sum, costOf(e, fn))
+			sum = addCost(sum, exprCost(e, fn))
 		}
 	case *mapExpr:
 		for i := range x.keys {
-			sum = add(sum, add(costOf(x.keys[i], fn), costOf(x.values[i], fn)))
+			sum = addCost(sum, addCost(exprCost(x.keys[i], fn), exprCost(x.values[i], fn)))
 		}
 	case *callExpr:
 		for _, a := range x.args {
-			sum = add(sum, costOf(a, fn))
+			sum = addCost(sum, exprCost(a, fn))
 		}
 		if x.fn != nil {
-			sum = add(sum, fn(x.fn))
+			sum = addCost(sum, fn(x.fn))
 		} else {
-			sum = add(sum, 8)
+			sum = addCost(sum, 8)
 		}
 	}
 	return sum
 }
 
 // lint finds what is allowed and most likely wrong: declared and never used, and hooks that may need more than their steps.
-func (g *gen) lint(f *file) Errors {
+func (g *generator) lint(f *file) Errors {
 	var out Errors
 	warn := func(p Pos, format string, args ...any) {
 		out = append(out, &Error{f.name, p, fmt.Sprintf(format, args...)})
@@ -177,7 +177,7 @@
 			}
 		}
 	}
-	for i, d := range g.c.hooks {
+	for i, d := range g.checked.hooks {
 		switch h := g.p.Hooks[i]; {
 		case h.Cost == unbounded:
 			warn(d.pos, "how many steps this hook takes depends on values; it is stopped after %d", h.Steps)
--- a/script/parse.go
+++ b/script/parse.go
@@ -11,14 +11,14 @@
 type parser struct {
 	name  string
 	toks  []token
-	at    int
+	index int
 	errs  Errors
 	depth int
 	file  *file
 }
 
 // bail ends the parsing of one declaration.
-type bail struct{}
+type abortDecl struct{}
 
 func parse(name, src string) (*file, Errors) {
 	toks, errs := lex(name, src)
@@ -33,18 +33,18 @@
 	if len(p.toks) == 0 {
 		return p.file, p.errs
 	}
-	for p.skip(); p.peek().kind != tEOF && len(p.errs) < maxErrors; p.skip() {
-		p.guarded(func() { p.file.decls = append(p.file.decls, p.decl()) })
+	for p.skipNewlines(); p.peek().kind != tEOF && len(p.errs) < maxErrors; p.skipNewlines() {
+		p.withRecovery(func() { p.file.decls = append(p.file.decls, p.decl()) })
 	}
 	return p.file, p.errs
 }
 
 // guarded parses one declaration; after a fault it goes on with the next line that can begin one.
-func (p *parser) guarded(f func()) {
+func (p *parser) withRecovery(f func()) {
 	defer func() {
 		switch r := recover().(type) {
 		case nil:
-		case bail:
+		case abortDecl:
 			p.depth = 0
 			for p.peek().kind != tEOF {
 				if t := p.peek(); t.pos.Column == 1 {
@@ -53,7 +53,7 @@
 						return
 					}
 				}
-				p.at++
+				p.index++
 			}
 		default:
 			panic(r)
@@ -62,42 +62,42 @@
 	f()
 }
 
-func (p *parser) peek() token { return p.toks[min(p.at, len(p.toks)-1)] }
+func (p *parser) peek() token { return p.toks[min(p.index, len(p.toks)-1)] }
 
 func (p *parser) next() token {
 	t := p.peek()
-	p.at++
+	p.index++
 	return t
 }
 
-func (p *parser) fail(pos Pos, format string, args ...any) {
+func (p *parser) errorAt(pos Pos, format string, args ...any) {
 	p.errs = append(p.errs, &Error{p.name, pos, fmt.Sprintf(format, args...)})
-	panic(bail{})
+	panic(abortDecl{})
 }
 
 // skip passes over empty lines.
-func (p *parser) skip() {
+func (p *parser) skipNewlines() {
 	for p.peek().kind == tNewline {
-		p.at++
+		p.index++
 	}
 }
 
-func (p *parser) is(text string) bool {
+func (p *parser) nextIs(text string) bool {
 	t := p.peek()
 	return (t.kind == tPunct || t.kind == tName) && t.text == text
 }
 
 func (p *parser) accept(text string) bool {
-	if p.is(text) {
-		p.at++
+	if p.nextIs(text) {
+		p.index++
 		return true
 	}
 	return false
 }
 
 func (p *parser) expect(text, where string) token {
-	if !p.is(text) {
-		p.fail(p.peek().pos, "%s instead of %q %s", p.peek(), text, where)
+	if !p.nextIs(text) {
+		p.errorAt(p.peek().pos, "%s instead of %q %s", p.peek(), text, where)
 	}
 	return p.next()
 }
@@ -106,32 +106,32 @@
 	t := p.next()
 	if t.kind != tName || keywords[t.text] {
 		if t.kind == tName {
-			p.fail(t.pos, "%q is a word of the language and cannot be the name of %s", t.text, what)
+			p.errorAt(t.pos, "%q is a word of the language and cannot be the name of %s", t.text, what)
 		}
-		p.fail(t.pos, "%s instead of the name of %s", t, what)
+		p.errorAt(t.pos, "%s instead of the name of %s", t, what)
 	}
 	return t
 }
 
 func (p *parser) endLine(after string) {
-	if t := p.peek(); t.kind != tNewline && t.kind != tEOF && !p.is("}") {
-		p.fail(t.pos, "%s after %s; a line has one statement", t, after)
+	if t := p.peek(); t.kind != tNewline && t.kind != tEOF && !p.nextIs("}") {
+		p.errorAt(t.pos, "%s after %s; a line has one statement", t, after)
 	}
 }
 
 func (p *parser) decl() decl {
 	var attrs []attr
-	for p.is("@") {
+	for p.nextIs("@") {
 		pos := p.next().pos
 		n := p.ident("an attribute")
 		p.expect("(", "after an attribute")
 		attrs = append(attrs, attr{pos, n.text, p.next()})
 		p.expect(")", "after an attribute's value")
-		p.skip()
+		p.skipNewlines()
 	}
 	t := p.next()
 	if len(attrs) > 0 && t.text != "on" && t.text != "every" {
-		p.fail(attrs[0].pos, "an attribute belongs before a hook")
+		p.errorAt(attrs[0].pos, "an attribute belongs before a hook")
 	}
 	switch t.text {
 	case "const":
@@ -156,35 +156,35 @@
 	case "every":
 		n := p.next()
 		if n.kind != tDuration {
-			p.fail(n.pos, "%s instead of a duration after every", n)
+			p.errorAt(n.pos, "%s instead of a duration after every", n)
 		}
 		return &hookDecl{pos: t.pos, attrs: attrs, hook: "every", every: time.Duration(n.i), body: p.block()}
 	}
-	p.fail(t.pos, "%s begins no declaration; const, var, rate, top, counter, fn, on and every do", t)
+	p.errorAt(t.pos, "%s begins no declaration; const, var, rate, top, counter, fn, on and every do", t)
 	return nil
 }
 
 func (p *parser) state(t token) decl {
 	n := p.ident("a " + t.text)
-	d := &stateDecl{pos: n.pos, what: t.text, name: n.text, keys: 1000, window: 10 * time.Second}
+	d := &stateDecl{pos: n.pos, keyword: t.text, name: n.text, keys: 1000, window: 10 * time.Second}
 	if t.text != "counter" {
 		p.expect("(", "after the name")
-		for !p.is(")") {
+		for !p.nextIs(")") {
 			o := p.next()
 			v := p.next()
 			switch {
 			case o.text == "keys" && v.kind == tInt:
 				if v.i < 1 || v.i > 1<<16 {
-					p.fail(v.pos, "%d keys; 1 to %d can be", v.i, 1<<16)
+					p.errorAt(v.pos, "%d keys; 1 to %d can be", v.i, 1<<16)
 				}
 				d.keys = int(v.i)
 			case o.text == "window" && v.kind == tDuration && t.text == "rate":
 				if v.i < int64(time.Second) || v.i > int64(time.Hour) {
-					p.fail(v.pos, "a window of %v; 1s to 1h can be", time.Duration(v.i))
+					p.errorAt(v.pos, "a window of %v; 1s to 1h can be", time.Duration(v.i))
 				}
 				d.window = time.Duration(v.i)
 			default:
-				p.fail(o.pos, "%s is nothing that a %s can have; keys N%s can be", o, t.text, map[bool]string{true: " and window DURATION"}[t.text == "rate"])
+				p.errorAt(o.pos, "%s is nothing that a %s can have; keys N%s can be", o, t.text, map[bool]string{true: " and window DURATION"}[t.text == "rate"])
 			}
 			if !p.accept(",") {
 				break
@@ -222,7 +222,7 @@
 		}
 		return mapOf(e)
 	}
-	p.fail(t.pos, "%s is no type; int, float, bool, duration, string, pattern, list[T] and map[T] are", t)
+	p.errorAt(t.pos, "%s is no type; int, float, bool, duration, string, pattern, list[T] and map[T] are", t)
 	return tyNone
 }
 
@@ -230,7 +230,7 @@
 	n := p.ident("a function")
 	d := &fnDecl{pos: n.pos, name: n.text}
 	p.expect("(", "after the name")
-	for !p.is(")") {
+	for !p.nextIs(")") {
 		a := p.ident("a parameter")
 		p.expect(":", "after the parameter; its type follows")
 		d.params = append(d.params, param{a.pos, a.text, p.typ()})
@@ -239,7 +239,7 @@
 		}
 	}
 	p.expect(")", "after the parameters")
-	if !p.is("{") {
+	if !p.nextIs("{") {
 		d.result = p.typ()
 	}
 	d.body = p.block()
@@ -248,7 +248,7 @@
 
 func (p *parser) enter(pos Pos) {
 	if p.depth++; p.depth > maxNesting {
-		p.fail(pos, "nested deeper than %d", maxNesting)
+		p.errorAt(pos, "nested deeper than %d", maxNesting)
 	}
 }
 
@@ -259,9 +259,9 @@
 	p.enter(t.pos)
 	defer p.leave()
 	b := &block{pos: t.pos}
-	for p.skip(); !p.is("}"); p.skip() {
+	for p.skipNewlines(); !p.nextIs("}"); p.skipNewlines() {
 		if p.peek().kind == tEOF {
-			p.fail(t.pos, "this block has no end")
+			p.errorAt(t.pos, "this block has no end")
 		}
 		b.stmts = append(b.stmts, p.stmt())
 	}
@@ -297,7 +297,7 @@
 		case "return":
 			p.next()
 			s := &returnStmt{pos: t.pos}
-			if k := p.peek(); k.kind != tNewline && !p.is("}") {
+			if k := p.peek(); k.kind != tNewline && !p.nextIs("}") {
 				s.x = p.expr()
 			}
 			p.endLine("return")
@@ -330,7 +330,7 @@
 	s := &ifStmt{pos: t.pos, cond: p.expr()}
 	s.then = p.block()
 	if p.accept("else") {
-		if p.is("if") {
+		if p.nextIs("if") {
 			s.els = p.ifStmt()
 		} else {
 			s.els = p.block()
@@ -345,27 +345,27 @@
 	p.expect("{", "after the matched value")
 	p.enter(t.pos)
 	defer p.leave()
-	for p.skip(); !p.is("}"); p.skip() {
+	for p.skipNewlines(); !p.nextIs("}"); p.skipNewlines() {
 		if p.peek().kind == tEOF {
-			p.fail(t.pos, "this match has no end")
+			p.errorAt(t.pos, "this match has no end")
 		}
 		a := arm{pos: p.peek().pos}
 		if !p.accept("else") {
 			for {
 				a.values = append(a.values, p.expr())
-				var top expr
+				var rangeEnd expr
 				if p.accept("..") {
-					top = p.expr()
+					rangeEnd = p.expr()
 				}
-				a.tops = append(a.tops, top)
+				a.rangeEnds = append(a.rangeEnds, rangeEnd)
 				if !p.accept(",") {
 					break
 				}
-				p.skip()
+				p.skipNewlines()
 			}
 		}
 		p.expect("->", "after what is matched")
-		if p.is("{") {
+		if p.nextIs("{") {
 			a.body = p.block()
 		} else {
 			st := p.stmt()
@@ -378,12 +378,12 @@
 }
 
 // levels are the binary operators, the loosest first.
-var levels = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in", "matches"}, {"+", "-"}, {"*", "/", "%"}}
+var precedence = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in", "matches"}, {"+", "-"}, {"*", "/", "%"}}
 
 func (p *parser) expr() expr { return p.binary(0) }
 
 func (p *parser) binary(level int) expr {
-	if level == len(levels) {
+	if level == len(precedence) {
 		return p.unary()
 	}
 	if level == 0 {
@@ -398,19 +398,19 @@
 	x := p.binary(level + 1)
 	for n := 0; ; n++ {
 		op := ""
-		for _, o := range levels[level] {
-			if p.is(o) {
-				op = o
+		for _, candidate := range precedence[level] {
+			if p.nextIs(candidate) {
+				op = candidate
 			}
 		}
 		if op == "" {
 			return x
 		}
 		if n == maxNesting {
-			p.fail(p.peek().pos, "more than %d operators in a row", maxNesting)
+			p.errorAt(p.peek().pos, "more than %d operators in a row", maxNesting)
 		}
 		t := p.next()
-		p.skip() // a line may end after an operator
+		p.skipNewlines() // a line may end after an operator
 		x = &binaryExpr{typed: typed{pos: t.pos}, op: op, x: x, y: p.binary(level + 1)}
 	}
 }
@@ -422,10 +422,10 @@
 		return &unaryExpr{typed: typed{pos: t.pos}, op: "-", x: p.unary()}
 	}
 	x := p.primary()
-	for n := 0; p.is("["); n++ {
+	for n := 0; p.nextIs("["); n++ {
 		t := p.next()
 		if n == maxNesting {
-			p.fail(t.pos, "more than %d indexes in a row", maxNesting)
+			p.errorAt(t.pos, "more than %d indexes in a row", maxNesting)
 		}
 		i := p.expr()
 		p.expect("]", "after an index")
@@ -436,9 +436,9 @@
 
 func (p *parser) args() []expr {
 	var out []expr
-	for p.skip(); !p.is(")"); p.skip() {
+	for p.skipNewlines(); !p.nextIs(")"); p.skipNewlines() {
 		out = append(out, p.expr())
-		p.skip()
+		p.skipNewlines()
 		if !p.accept(",") {
 			break
 		}
@@ -458,7 +458,7 @@
 		}
 		// A type's name is its conversion too; rate, top and counter are only words at the beginning of a line.
 		if keywords[t.text] {
-			p.fail(t.pos, "%s is no value", t)
+			p.errorAt(t.pos, "%s is no value", t)
 		}
 		if p.accept("(") {
 			return &callExpr{typed: typed{pos: t.pos}, name: t.text, args: p.args()}
@@ -466,7 +466,7 @@
 		if p.accept(".") {
 			n := p.next()
 			if n.kind != tName {
-				p.fail(n.pos, "%s instead of a field or method of %s", n, t.text)
+				p.errorAt(n.pos, "%s instead of a field or method of %s", n, t.text)
 			}
 			if p.accept("(") {
 				return &callExpr{typed: typed{pos: t.pos}, object: t.text, name: n.text, args: p.args()}
@@ -482,9 +482,9 @@
 			return x
 		case "[":
 			l := &listExpr{typed: typed{pos: t.pos}}
-			for p.skip(); !p.is("]"); p.skip() {
+			for p.skipNewlines(); !p.nextIs("]"); p.skipNewlines() {
 				l.elems = append(l.elems, p.expr())
-				p.skip()
+				p.skipNewlines()
 				if !p.accept(",") {
 					break
 				}
@@ -493,11 +493,11 @@
 			return l
 		case "{":
 			m := &mapExpr{typed: typed{pos: t.pos}}
-			for p.skip(); !p.is("}"); p.skip() {
+			for p.skipNewlines(); !p.nextIs("}"); p.skipNewlines() {
 				m.keys = append(m.keys, p.expr())
 				p.expect(":", "after a key")
 				m.values = append(m.values, p.expr())
-				p.skip()
+				p.skipNewlines()
 				if !p.accept(",") {
 					break
 				}
@@ -506,6 +506,6 @@
 			return m
 		}
 	}
-	p.fail(t.pos, "%s is no value", t)
+	p.errorAt(t.pos, "%s is no value", t)
 	return nil
 }
--- a/script/reference.go
+++ b/script/reference.go
@@ -48,7 +48,7 @@
 			result = " " + x.result.String()
 		}
 		fmt.Fprintf(&b, "\n### %s(%s)%s\n\n%s In: %s.\n\n", name, strings.Join(args, ", "), result, x.doc, hooks)
-		for _, l := range strings.Split(x.sample, "\n") {
+		for _, l := range strings.Split(x.example, "\n") {
 			fmt.Fprintf(&b, "    %s\n", strings.ReplaceAll(l, "\t", "    "))
 		}
 	}
--- a/script/script_test.go
+++ b/script/script_test.go
@@ -17,7 +17,7 @@
 // The same cases at every run; other seeds by hand: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
-func compile(t testing.TB, src string) *Program {
+func mustCompile(t testing.TB, src string) *Program {
 	t.Helper()
 	p, err := Compile("t.ug", src)
 	if err != nil {
@@ -29,16 +29,16 @@
 var callEvent = Event{N: [eventInts]int64{10, 0, 102, 1, int64(20 * time.Millisecond), 47, 103, 1, int64(time.Second)},
 	S: [eventStrings]string{"820112345", "9012000", "map-tile", "city", "stands"}}
 
-func run(t testing.TB, src string) (Result, error) {
+func runOnCallEvent(t testing.TB, src string) (Result, error) {
 	t.Helper()
-	p := compile(t, src)
+	p := mustCompile(t, src)
 	var res Result
 	err := NewVM().Run(p, 0, &callEvent, p.NewState(nil, nil), time.Hour, &res)
 	return res, err
 }
 
 // Each body's value, logged as text, is what is wanted.
-func TestExpressions(t *testing.T) {
+func TestExpressionValues(t *testing.T) {
 	for x, want := range map[string]string{
 		"1 + 2 * 3 - 4 / 2 % 3":                    "5",
 		"-(3 - 5)":                                 "2",
@@ -71,15 +71,15 @@
 		"9223372036 * 1000000000 / -1 < 0":         "true",
 		"result.after > 500ms or result.via == 99": "false",
 	} {
-		res, err := run(t, fmt.Sprintf("on final {\n\tlog(\"x\", text(%s))\n}", x))
+		res, err := runOnCallEvent(t, fmt.Sprintf("on final {\n\tlog(\"x\", text(%s))\n}", x))
 		if err != nil || len(res.Logs) != 1 || res.Logs[0].Value != want {
 			t.Errorf("%s is %v, %v; want %s", x, res.Logs, err, want)
 		}
 	}
 }
 
-func TestProgram(t *testing.T) {
-	res, err := run(t, `
+func TestStatementsAndFunctions(t *testing.T) {
+	res, err := runOnCallEvent(t, `
 const weights = {"a": 1, "b": 2}
 const codes = [101, 102]
 const nested = [[1, 2], [3]]
@@ -155,7 +155,7 @@
 }
 
 // Faults are told with their place and, where somebody may have meant another word, with that.
-func TestFaults(t *testing.T) {
+func TestCompileErrorsGivePositionAndSuggestion(t *testing.T) {
 	for src, want := range map[string]string{
 		"on arival {\n}":                                                   `t.ug:1:1: "arival" is no hook; arrival?`,
 		"on arrival {\n\trefus(1)\n}":                                      "t.ug:2:2: there is no function refus; refuse?",
@@ -203,7 +203,7 @@
 }
 
 // All faults of a file are told at once.
-func TestManyFaults(t *testing.T) {
+func TestAllCompileErrorsAreReportedAtOnce(t *testing.T) {
 	_, err := Compile("t.ug", "on arival {\n}\n\nfn f( {\n}\n\non arrival {\n\trefus(1)\n\tlet a = b\n}\n")
 	var e Errors
 	if !errors.As(err, &e) || len(e) < 1 {
@@ -215,8 +215,8 @@
 	}
 }
 
-func TestWarnings(t *testing.T) {
-	p := compile(t, "const c = 1\nvar v = 1\ncounter k\nfn f() {\n}\non arrival {\n\tlet x = 1\n\treturn\n\ttag(\"a\")\n}\n@steps(10)\non final {\n\tfor i in 0..100 {\n\t\ttag(text(i))\n\t}\n}\non route {\n\tfor i in 0..call.to {\n\t\texclude(i)\n\t}\n}\n")
+func TestLinterWarnings(t *testing.T) {
+	p := mustCompile(t, "const c = 1\nvar v = 1\ncounter k\nfn f() {\n}\non arrival {\n\tlet x = 1\n\treturn\n\ttag(\"a\")\n}\n@steps(10)\non final {\n\tfor i in 0..100 {\n\t\ttag(text(i))\n\t}\n}\non route {\n\tfor i in 0..call.to {\n\t\texclude(i)\n\t}\n}\n")
 	all := p.Warnings.Error()
 	for _, want := range []string{"c is never used", "v is never used", "k is never used", "f is never called", "x is never used", "never reached", "may take", "depends on values"} {
 		if !strings.Contains(all, want) {
@@ -226,7 +226,7 @@
 }
 
 // What a hook does wrong ends it, within its bounds, and tells where.
-func TestEnds(t *testing.T) {
+func TestFailingRunsEndWithinTheirBudgets(t *testing.T) {
 	for name, c := range map[string]struct {
 		src  string
 		want error
@@ -247,31 +247,31 @@
 		"tags for ever":       {"on arrival {\n\tfor i in 0..1000 {\n\t\ttag(text(i))\n\t}\n}", nil, "more than 16 tags"},
 		"excludes everything": {"on route {\n\tfor i in 0..1000 {\n\t\texclude(i)\n\t}\n}", nil, "more than 32"},
 	} {
-		res, err := run(t, c.src)
+		res, err := runOnCallEvent(t, c.src)
 		var f *RuntimeError
 		if !errors.As(err, &f) || c.want != nil && !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.what) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if res.Memory > maxMemory+1<<16 || res.Steps > maxSteps+1000 {
+		if res.Memory > maxMemoryOctets+1<<16 || res.Steps > maxSteps+1000 {
 			t.Errorf("%s: used %d steps and %d octets", name, res.Steps, res.Memory)
 		}
 	}
 }
 
 // A pathological pattern on a long number costs one pass.
-func TestPatternIsLinear(t *testing.T) {
-	if !matches("82"+strings.Repeat("1", 22), strings.Repeat("?", 23)+"*") || matches("82", "???*") || !matches("", "*") || !matches("12", "12*") || matches("123", "12") {
+func TestPatternMatchingIsLinear(t *testing.T) {
+	if !matchesPattern("82"+strings.Repeat("1", 22), strings.Repeat("?", 23)+"*") || matchesPattern("82", "???*") || !matchesPattern("", "*") || !matchesPattern("12", "12*") || matchesPattern("123", "12") {
 		t.Error("patterns are read wrongly")
 	}
-	res, err := run(t, "on final {\n\tlet n = 0\n\tfor _i in 0..100 {\n\t\tif call.called matches ????????????????????????* {\n\t\t\tn = n + 1\n\t\t}\n\t}\n\tlog(\"n\", n)\n}")
+	res, err := runOnCallEvent(t, "on final {\n\tlet n = 0\n\tfor _i in 0..100 {\n\t\tif call.called matches ????????????????????????* {\n\t\t\tn = n + 1\n\t\t}\n\t}\n\tlog(\"n\", n)\n}")
 	if err != nil || res.Steps > 700 {
 		t.Errorf("%d steps, %v", res.Steps, err)
 	}
 }
 
 // Variables are set by the tick alone, all at its end, and not at all if it fails.
-func TestVariables(t *testing.T) {
-	p := compile(t, "var storm = false\nvar word = \"calm\"\nevery 5s {\n\tstorm = system.waiting > 5\n\tword = \"storm\"\n\tif system.open > 99 {\n\t\tfail \"too many\"\n\t}\n}\non arrival {\n\tif storm {\n\t\ttag(word)\n\t}\n}")
+func TestVariablesAreWrittenByASuccessfulRunOnly(t *testing.T) {
+	p := mustCompile(t, "var storm = false\nvar word = \"calm\"\nevery 5s {\n\tstorm = system.waiting > 5\n\tword = \"storm\"\n\tif system.open > 99 {\n\t\tfail \"too many\"\n\t}\n}\non arrival {\n\tif storm {\n\t\ttag(word)\n\t}\n}")
 	st, vm := p.NewState(nil, nil), NewVM()
 	tags := func() string {
 		var res Result
@@ -280,27 +280,27 @@
 		}
 		return strings.Join(res.Tags, ",")
 	}
-	tick := func(waiting, open int64) error {
+	runEvery := func(waiting, open int64) error {
 		var res Result
 		return vm.Run(p, 0, &Event{N: [eventInts]int64{waiting, open}}, st, 0, &res)
 	}
 	if tags() != "" {
 		t.Error("set at the start")
 	}
-	if tick(6, 100) == nil || tags() != "" {
+	if runEvery(6, 100) == nil || tags() != "" {
 		t.Error("a tick that failed has changed something")
 	}
-	if tick(6, 1) != nil || tags() != "storm" {
+	if runEvery(6, 1) != nil || tags() != "storm" {
 		t.Error("not set")
 	}
-	q := compile(t, "var word = \"new\"\nvar storm = 5\non arrival {\n\ttag(word)\n\ttag(text(storm))\n}")
+	q := mustCompile(t, "var word = \"new\"\nvar storm = 5\non arrival {\n\ttag(word)\n\ttag(text(storm))\n}")
 	var res Result
 	if err := vm.Run(q, 0, &callEvent, q.NewState(st, p), 0, &res); err != nil || fmt.Sprint(res.Tags) != "[storm 1]" {
 		t.Errorf("a new version begins with %v, %v", res.Tags, err)
 	}
 }
 
-func TestRates(t *testing.T) {
+func TestRateOfABusyKeyAmongManyKeys(t *testing.T) {
 	r := NewRates(10*time.Second, 64)
 	now := time.Hour
 	for i := range 300 {
@@ -320,7 +320,7 @@
 }
 
 // The rate is over the whole window: what came in its first half still counts in the second, in full.
-func TestRateIsOverTheWindow(t *testing.T) {
+func TestRateCoversTheWholeWindow(t *testing.T) {
 	r := NewRates(10*time.Second, 64)
 	for range 50 {
 		r.add("x", time.Hour)
@@ -336,19 +336,19 @@
 }
 
 // Counts of Space-Saving are never too low, and too high by the whole divided by the size at the most.
-func TestTop(t *testing.T) {
+func TestTopCountsWithinSpaceSavingBounds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	z := rand.NewZipf(rng, 1.2, 1, 5000)
-	top, truth := NewTop(100), map[string]int64{}
+	zipf := rand.NewZipf(rng, 1.2, 1, 5000)
+	top, exact := NewTop(100), map[string]int64{}
 	const n = 20000
 	for range n {
-		k := fmt.Sprint(z.Uint64())
+		k := fmt.Sprint(zipf.Uint64())
 		top.Add(k)
-		truth[k]++
+		exact[k]++
 	}
 	for _, k := range top.Most(100) {
-		if c := top.Count(k); c < truth[k] || c > truth[k]+n/100 {
-			t.Errorf("%s counted %d, truly %d", k, c, truth[k])
+		if c := top.Count(k); c < exact[k] || c > exact[k]+n/100 {
+			t.Errorf("%s counted %d, truly %d", k, c, exact[k])
 		}
 	}
 	if m := top.Most(1); m[0] != "0" {
@@ -357,28 +357,28 @@
 }
 
 // Every built-in's example compiles, runs and is laid out as the formatter would.
-func TestReference(t *testing.T) {
+func TestBuiltinExamplesRunAndAreFormatted(t *testing.T) {
 	for _, b := range builtins {
-		p := compile(t, b.sample)
+		p := mustCompile(t, b.example)
 		var res Result
 		if err := NewVM().Run(p, 0, &callEvent, p.NewState(nil, nil), time.Hour, &res); err != nil {
 			t.Errorf("%s: %v", b.name, err)
 		}
-		if f, err := Format("t.ug", b.sample); err != nil || f != b.sample+"\n" {
+		if f, err := Format("t.ug", b.example); err != nil || f != b.example+"\n" {
 			t.Errorf("%s is laid out as\n%s %v", b.name, f, err)
 		}
 	}
 }
 
 // The page in the repository is the one that the tables make.
-func TestReferencePage(t *testing.T) {
+func TestReferencePageIsUpToDate(t *testing.T) {
 	b, err := os.ReadFile("../docs/operations/script-reference.md")
 	if err != nil || string(b) != Reference() {
 		t.Errorf("the page is old: umbergauge script reference > docs/operations/script-reference.md (%v)", err)
 	}
 }
 
-func TestFormat(t *testing.T) {
+func TestFormatLayout(t *testing.T) {
 	src := "const  m={\"a\":1 ,\"b\":-2}\n\n\n\n# on top\non   arrival{   # here\nif call.called matches 82* and not(1<-2){tag( \"x\" )}\nlet l=[1,2 , -3][0]\nfor i in 0 .. 3{\n# inside\n\nexclude2(i)\n\n}\n}\n"
 	src = strings.ReplaceAll(src, "exclude2(i)", "tag(text(i))")
 	want := "const m = {\"a\": 1, \"b\": -2}\n\n# on top\non arrival { # here\n\tif call.called matches 82* and not (1 < -2) { tag(\"x\") }\n\tlet l = [1, 2, -3][0]\n\tfor i in 0..3 {\n\t\t# inside\n\n\t\ttag(text(i))\n\t}\n}\n"
@@ -390,28 +390,28 @@
 
 // program draws a well-typed program: every one must compile, end within its budget, and never fail but by what the
 // language lets fail.
-type drawer struct {
-	t     *rapid.T
-	depth int
-	vars  map[string][]string // by type
-	n     int
+type programGenerator struct {
+	t         *rapid.T
+	depth     int
+	vars      map[string][]string // by type
+	nameCount int
 }
 
-func (d *drawer) pick(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "p") }
+func (d *programGenerator) intn(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "p") }
 
-func (d *drawer) expr(ty string) string {
+func (d *programGenerator) expr(ty string) string {
 	d.depth++
 	defer func() { d.depth-- }()
-	if vs := d.vars[ty]; len(vs) > 0 && d.pick(3) == 0 {
-		return vs[d.pick(len(vs))]
+	if vs := d.vars[ty]; len(vs) > 0 && d.intn(3) == 0 {
+		return vs[d.intn(len(vs))]
 	}
 	leaf := d.depth > 4
 	switch ty {
 	case "int":
-		if leaf || d.pick(3) == 0 {
-			return []string{"0", "1", "7", "1000", "call.attempts", "call.to", "-3"}[d.pick(7)]
+		if leaf || d.intn(3) == 0 {
+			return []string{"0", "1", "7", "1000", "call.attempts", "call.to", "-3"}[d.intn(7)]
 		}
-		switch d.pick(4) {
+		switch d.intn(4) {
 		case 0:
 			return "len(" + d.expr("string") + ")"
 		case 1:
@@ -419,37 +419,37 @@
 		case 2:
 			return "min(" + d.expr("int") + ", " + d.expr("int") + ")"
 		}
-		return "(" + d.expr("int") + []string{" + ", " - ", " * ", " / ", " % "}[d.pick(5)] + d.expr("int") + ")"
+		return "(" + d.expr("int") + []string{" + ", " - ", " * ", " / ", " % "}[d.intn(5)] + d.expr("int") + ")"
 	case "float":
-		if leaf || d.pick(3) == 0 {
-			return []string{"0.5", "2.0", "float(3)"}[d.pick(3)]
+		if leaf || d.intn(3) == 0 {
+			return []string{"0.5", "2.0", "float(3)"}[d.intn(3)]
 		}
-		return "(" + d.expr("float") + []string{" + ", " - ", " * ", " / "}[d.pick(4)] + d.expr("float") + ")"
+		return "(" + d.expr("float") + []string{" + ", " - ", " * ", " / "}[d.intn(4)] + d.expr("float") + ")"
 	case "bool":
-		if leaf || d.pick(4) == 0 {
-			return []string{"true", "false", "call.transit", "call.called matches 82?1*"}[d.pick(4)]
+		if leaf || d.intn(4) == 0 {
+			return []string{"true", "false", "call.transit", "call.called matches 82?1*"}[d.intn(4)]
 		}
-		switch d.pick(5) {
+		switch d.intn(5) {
 		case 0:
 			return "not " + d.expr("bool")
 		case 1:
-			return "(" + d.expr("bool") + []string{" and ", " or "}[d.pick(2)] + d.expr("bool") + ")"
+			return "(" + d.expr("bool") + []string{" and ", " or "}[d.intn(2)] + d.expr("bool") + ")"
 		case 2:
-			return "(" + d.expr("string") + []string{" == ", " != ", " < ", " <= "}[d.pick(4)] + d.expr("string") + ")"
+			return "(" + d.expr("string") + []string{" == ", " != ", " < ", " <= "}[d.intn(4)] + d.expr("string") + ")"
 		case 3:
 			return "(" + d.expr("int") + " in " + d.expr("list") + ")"
 		}
-		return "(" + d.expr("int") + []string{" == ", " != ", " < ", " <= ", " > ", " >= "}[d.pick(6)] + d.expr("int") + ")"
+		return "(" + d.expr("int") + []string{" == ", " != ", " < ", " <= ", " > ", " >= "}[d.intn(6)] + d.expr("int") + ")"
 	case "list":
-		if leaf || d.pick(2) == 0 {
+		if leaf || d.intn(2) == 0 {
 			return "[1, 2, 3]"
 		}
 		return "[" + d.expr("int") + ", " + d.expr("int") + "]"
 	}
-	if leaf || d.pick(3) == 0 {
-		return []string{`""`, `"a"`, "call.called", "call.class"}[d.pick(4)]
+	if leaf || d.intn(3) == 0 {
+		return []string{`""`, `"a"`, "call.called", "call.class"}[d.intn(4)]
 	}
-	switch d.pick(3) {
+	switch d.intn(3) {
 	case 0:
 		return "text(" + d.expr("int") + ")"
 	case 1:
@@ -458,29 +458,29 @@
 	return "(" + d.expr("string") + " + " + d.expr("string") + ")"
 }
 
-func (d *drawer) block(b *strings.Builder, indent int) {
+func (d *programGenerator) block(b *strings.Builder, indent int) {
 	tab := strings.Repeat("\t", indent)
 	saved := map[string]int{}
 	for k, v := range d.vars {
 		saved[k] = len(v)
 	}
-	for range d.pick(4) + 1 {
+	for range d.intn(4) + 1 {
 		kinds := 8
 		if indent > 4 {
 			kinds = 4
 		}
-		switch d.pick(kinds) {
+		switch d.intn(kinds) {
 		case 0, 1:
-			ty := []string{"int", "float", "bool", "string", "list"}[d.pick(5)]
-			d.n++
-			name := fmt.Sprint("_v", d.n)
+			ty := []string{"int", "float", "bool", "string", "list"}[d.intn(5)]
+			d.nameCount++
+			name := fmt.Sprint("_v", d.nameCount)
 			fmt.Fprintf(b, "%slet %s = %s\n", tab, name, d.expr(ty))
 			d.vars[ty] = append(d.vars[ty], name)
 		case 2:
 			fmt.Fprintf(b, "%stag(substr(%s, 0, 60))\n", tab, d.expr("string"))
 		case 3:
 			if vs := d.vars["list"]; len(vs) > 0 {
-				fmt.Fprintf(b, "%sappend(%s, %s)\n", tab, vs[d.pick(len(vs))], d.expr("int"))
+				fmt.Fprintf(b, "%sappend(%s, %s)\n", tab, vs[d.intn(len(vs))], d.expr("int"))
 			}
 		case 4:
 			fmt.Fprintf(b, "%sif %s {\n", tab, d.expr("bool"))
@@ -489,13 +489,13 @@
 			d.block(b, indent+1)
 			fmt.Fprintf(b, "%s}\n", tab)
 		case 5:
-			d.n++
-			fmt.Fprintf(b, "%sfor _i%d in %s..%s {\n", tab, d.n, d.expr("int"), d.expr("int"))
+			d.nameCount++
+			fmt.Fprintf(b, "%sfor _i%d in %s..%s {\n", tab, d.nameCount, d.expr("int"), d.expr("int"))
 			d.block(b, indent+1)
 			fmt.Fprintf(b, "%s}\n", tab)
 		case 6:
-			d.n++
-			name := fmt.Sprint("_e", d.n)
+			d.nameCount++
+			name := fmt.Sprint("_e", d.nameCount)
 			fmt.Fprintf(b, "%sfor %s in %s {\n", tab, name, d.expr("list"))
 			old := d.vars["int"]
 			d.vars["int"] = append(append([]string(nil), old...), name)
@@ -513,10 +513,10 @@
 	}
 }
 
-func TestDrawnPrograms(t *testing.T) {
+func TestGeneratedProgramsStayWithinTheirBudgets(t *testing.T) {
 	vm := NewVM()
 	rapid.Check(t, func(t *rapid.T) {
-		d := &drawer{t: t, vars: map[string][]string{}}
+		d := &programGenerator{t: t, vars: map[string][]string{}}
 		var b strings.Builder
 		b.WriteString("@steps(3000) @memory(20000)\non arrival {\n")
 		d.block(&b, 1)
@@ -531,7 +531,7 @@
 			t.Fatalf("%d steps, %d octets\n%s", res.Steps, res.Memory, b.String())
 		}
 		var f *RuntimeError
-		if err != nil && (!errors.As(err, &f) || strings.Contains(f.What, "unknown")) {
+		if err != nil && (!errors.As(err, &f) || strings.Contains(f.Message, "unknown")) {
 			t.Fatalf("%v\n%s", err, b.String())
 		}
 		once, err := Format("t.ug", b.String())
@@ -554,7 +554,7 @@
 
 func FuzzCompile(f *testing.F) {
 	for _, b := range builtins {
-		f.Add(b.sample)
+		f.Add(b.example)
 	}
 	f.Add("fn f(a: list[int], b: map[string]) duration {\n\treturn 5s\n}\n")
 	vm := NewVM()
@@ -587,12 +587,12 @@
 
 // The bounded structures beside the plain ones that would be written first: a million events over 100,000 keys, Zipf.
 func BenchmarkState(b *testing.B) {
-	z := rand.NewZipf(rand.New(rand.NewPCG(1, 2)), 1.1, 1, 99_999)
+	zipf := rand.NewZipf(rand.New(rand.NewPCG(1, 2)), 1.1, 1, 99_999)
 	keys := make([]string, 1_000_000)
 	for i := range keys {
-		keys[i] = fmt.Sprint("82010", z.Uint64())
+		keys[i] = fmt.Sprint("82010", zipf.Uint64())
 	}
-	held := func(f func()) float64 { // octets still held after a million events
+	heapGrowth := func(f func()) float64 { // octets still held after a million events
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
@@ -604,7 +604,7 @@
 	const window = 10 * time.Second
 	b.Run("rate", func(b *testing.B) {
 		r := NewRates(window, 5000)
-		h := held(func() {
+		h := heapGrowth(func() {
 			for i, k := range keys {
 				r.add(k, time.Duration(i)*10*time.Microsecond)
 			}
@@ -624,7 +624,7 @@
 			}
 			m[k] = append(l, now)
 		}
-		h := held(func() {
+		h := heapGrowth(func() {
 			for i, k := range keys {
 				add(k, time.Duration(i)*10*time.Microsecond)
 			}
@@ -637,7 +637,7 @@
 	})
 	b.Run("top", func(b *testing.B) {
 		t := NewTop(200)
-		h := held(func() {
+		h := heapGrowth(func() {
 			for _, k := range keys {
 				t.Add(k)
 			}
@@ -650,7 +650,7 @@
 	})
 	b.Run("map of counts", func(b *testing.B) {
 		m := map[string]int64{}
-		h := held(func() {
+		h := heapGrowth(func() {
 			for _, k := range keys {
 				m[k]++
 			}
--- a/script/state.go
+++ b/script/state.go
@@ -13,11 +13,11 @@
 // State is what a program keeps between calls: its variables, rates, tops and counters, each of a bounded size. It is safe
 // for concurrent use.
 type State struct {
-	vars   atomic.Pointer[varSet]
-	mu     sync.Mutex // of writers of vars
-	rates  []*Rates
-	tops   []*Top
-	counts []*atomic.Int64
+	vars     atomic.Pointer[varSet]
+	mu       sync.Mutex // of writers of vars
+	rates    []*Rates
+	tops     []*Top
+	counters []*atomic.Int64
 }
 
 // varSet is the variables at one instant; it does not change.
@@ -27,7 +27,7 @@
 }
 
 // with is the set with one change.
-func (v *varSet) with(c change) *varSet {
+func (v *varSet) withWrite(c varWrite) *varSet {
 	w := &varSet{slices.Clone(v.n), slices.Clone(v.s)}
 	w.n[c.slot], w.s[c.slot] = c.n, c.s
 	return w
@@ -35,42 +35,42 @@
 
 // NewState makes the state of a program, with its first values. With from, the state of an earlier version, what is
 // declared alike goes on: rates, tops and counters of the same name and size, and variables of the same name and kind.
-func (p *Program) NewState(from *State, earlier *Program) *State {
-	st := &State{}
-	v := &varSet{slices.Clone(p.varN), slices.Clone(p.varR)}
-	if from != nil && earlier != nil {
-		old := from.vars.Load()
+func (p *Program) NewState(oldState *State, oldProgram *Program) *State {
+	state := &State{}
+	values := &varSet{slices.Clone(p.varN), slices.Clone(p.varR)}
+	if oldState != nil && oldProgram != nil {
+		oldVars := oldState.vars.Load()
 		for i, name := range p.varNames {
-			if j := slices.Index(earlier.varNames, name); j >= 0 && earlier.varWide[j] == p.varWide[i] {
-				v.n[i], v.s[i] = old.n[j], old.s[j]
+			if j := slices.Index(oldProgram.varNames, name); j >= 0 && oldProgram.varIsRef[j] == p.varIsRef[i] {
+				values.n[i], values.s[i] = oldVars.n[j], oldVars.s[j]
 			}
 		}
 	}
-	st.vars.Store(v)
+	state.vars.Store(values)
 	for _, d := range p.states {
-		st.rates, st.tops, st.counts = append(st.rates, nil), append(st.tops, nil), append(st.counts, nil)
-		i := len(st.rates) - 1
+		state.rates, state.tops, state.counters = append(state.rates, nil), append(state.tops, nil), append(state.counters, nil)
+		i := len(state.rates) - 1
 		j := -1
-		if from != nil && earlier != nil {
-			j = slices.IndexFunc(earlier.states, func(e *stateDecl) bool {
-				return e.name == d.name && e.what == d.what && e.keys == d.keys && e.window == d.window
+		if oldState != nil && oldProgram != nil {
+			j = slices.IndexFunc(oldProgram.states, func(e *stateDecl) bool {
+				return e.name == d.name && e.keyword == d.keyword && e.keys == d.keys && e.window == d.window
 			})
 		}
 		switch {
 		case j >= 0:
-			st.rates[i], st.tops[i], st.counts[i] = from.rates[j], from.tops[j], from.counts[j]
-		case d.what == "rate":
-			st.rates[i] = NewRates(d.window, d.keys)
-		case d.what == "top":
-			st.tops[i] = NewTop(d.keys)
+			state.rates[i], state.tops[i], state.counters[i] = oldState.rates[j], oldState.tops[j], oldState.counters[j]
+		case d.keyword == "rate":
+			state.rates[i] = NewRates(d.window, d.keys)
+		case d.keyword == "top":
+			state.tops[i] = NewTop(d.keys)
 		default:
-			st.counts[i] = &atomic.Int64{}
+			state.counters[i] = &atomic.Int64{}
 		}
 	}
-	return st
+	return state
 }
 
-func (st *State) setVars(_ *Program, changes []change) {
+func (st *State) commitVars(_ *Program, changes []varWrite) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	v := st.vars.Load()
@@ -82,14 +82,14 @@
 }
 
 // Vars are the variables by name, as text, for operators.
-func (p *Program) Vars(st *State) map[string]any {
+func (p *Program) Vars(state *State) map[string]any {
 	out := map[string]any{}
-	v := st.vars.Load()
+	values := state.vars.Load()
 	for i, name := range p.varNames {
-		if p.varWide[i] {
-			out[name] = v.s[i]
+		if p.varIsRef[i] {
+			out[name] = values.s[i]
 		} else {
-			out[name] = v.n[i]
+			out[name] = values.n[i]
 		}
 	}
 	return out
@@ -123,7 +123,7 @@
 }
 
 // roll brings an entry to an epoch.
-func (e *rateEntry) roll(epoch uint32) {
+func (e *rateEntry) advance(epoch uint32) {
 	switch epoch - e.epoch {
 	case 0:
 		return
@@ -141,28 +141,28 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	set := &t.sets[h>>8&t.mask]
-	least := &set[0]
+	victim := &set[0]
 	for i := range set {
 		e := &set[i]
 		if e.hash == h {
-			e.roll(epoch)
+			e.advance(epoch)
 			if e.now < 1<<32-1 {
 				e.now++
 			}
 			return
 		}
 		if e.hash == 0 {
-			if least.hash != 0 {
-				least = e
+			if victim.hash != 0 {
+				victim = e
 			}
 			continue
 		}
-		e.roll(epoch)
-		if least.hash != 0 && e.now+e.last < least.now+least.last {
-			least = e
+		e.advance(epoch)
+		if victim.hash != 0 && e.now+e.last < victim.now+victim.last {
+			victim = e
 		}
 	}
-	*least = rateEntry{hash: h, epoch: epoch, now: 1}
+	*victim = rateEntry{hash: h, epoch: epoch, now: 1}
 }
 
 func (t *Rates) perSecond(key string, now time.Duration) float64 {
@@ -173,9 +173,9 @@
 	set := &t.sets[h>>8&t.mask]
 	for i := range set {
 		if e := &set[i]; e.hash == h {
-			e.roll(epoch)
-			part := float64(now%t.window) / float64(t.window)
-			return (float64(e.now) + float64(e.last)*(1-part)) / t.window.Seconds()
+			e.advance(epoch)
+			elapsed := float64(now%t.window) / float64(t.window)
+			return (float64(e.now) + float64(e.last)*(1-elapsed)) / t.window.Seconds()
 		}
 	}
 	return 0
@@ -184,24 +184,24 @@
 // Top counts keys and keeps the most frequent: Space-Saving (Metwally, Agrawal and El Abbadi, 2005). A kept key's count is
 // never too low, and too high by the whole count divided by the size at the most.
 type Top struct {
-	mu   sync.Mutex
-	size int
-	at   map[string]*topEntry
-	heap topHeap
+	mu      sync.Mutex
+	size    int
+	entries map[string]*topEntry
+	heap    topHeap
 }
 
 type topEntry struct {
-	key   string
-	count int64
-	i     int
+	key       string
+	count     int64
+	heapIndex int
 }
 
 type topHeap []*topEntry
 
 func (h topHeap) Len() int           { return len(h) }
 func (h topHeap) Less(a, b int) bool { return h[a].count < h[b].count }
-func (h topHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a]; h[a].i, h[b].i = a, b }
-func (h *topHeap) Push(x any)        { e := x.(*topEntry); e.i = len(*h); *h = append(*h, e) }
+func (h topHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a]; h[a].heapIndex, h[b].heapIndex = a, b }
+func (h *topHeap) Push(x any)        { e := x.(*topEntry); e.heapIndex = len(*h); *h = append(*h, e) }
 func (h *topHeap) Pop() any {
 	x := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
@@ -209,34 +209,34 @@
 }
 
 // NewTop makes a Top of a number of keys.
-func NewTop(keys int) *Top { return &Top{size: keys, at: make(map[string]*topEntry, keys)} }
+func NewTop(keys int) *Top { return &Top{size: keys, entries: make(map[string]*topEntry, keys)} }
 
 // maxKey bounds a key in octets; longer ones are counted by their beginning.
-const maxKey = 64
+const maxKeyOctets = 64
 
 // Add counts one for a key.
 func (t *Top) Add(key string) {
-	if len(key) > maxKey {
-		key = key[:maxKey]
+	if len(key) > maxKeyOctets {
+		key = key[:maxKeyOctets]
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.at[key]; e != nil {
+	if e := t.entries[key]; e != nil {
 		e.count++
-		heap.Fix(&t.heap, e.i)
+		heap.Fix(&t.heap, e.heapIndex)
 		return
 	}
 	if len(t.heap) < t.size {
 		e := &topEntry{key: key, count: 1}
-		t.at[key] = e
+		t.entries[key] = e
 		heap.Push(&t.heap, e)
 		return
 	}
 	e := t.heap[0]
-	delete(t.at, e.key)
+	delete(t.entries, e.key)
 	e.key = key
 	e.count++
-	t.at[key] = e
+	t.entries[key] = e
 	heap.Fix(&t.heap, 0)
 }
 
@@ -244,7 +244,7 @@
 func (t *Top) Count(key string) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.at[key]; e != nil {
+	if e := t.entries[key]; e != nil {
 		return e.count
 	}
 	return 0
@@ -253,12 +253,12 @@
 // Most are the n keys counted most, the most first; equal ones by key.
 func (t *Top) Most(n int) []string {
 	t.mu.Lock()
-	all := make([]topEntry, len(t.heap))
+	sorted := make([]topEntry, len(t.heap))
 	for i, e := range t.heap {
-		all[i] = *e
+		sorted[i] = *e
 	}
 	t.mu.Unlock()
-	slices.SortFunc(all, func(a, b topEntry) int {
+	slices.SortFunc(sorted, func(a, b topEntry) int {
 		if a.count != b.count {
 			return int(b.count - a.count)
 		}
@@ -268,7 +268,7 @@
 		return 1
 	})
 	var out []string
-	for _, e := range all[:min(n, len(all))] {
+	for _, e := range sorted[:min(n, len(sorted))] {
 		out = append(out, e.key)
 	}
 	return out
--- a/script/token.go
+++ b/script/token.go
@@ -17,10 +17,12 @@
 type Error struct {
 	File string
 	Pos
-	What string
+	Message string
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.What) }
+func (e *Error) Error() string {
+	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
+}
 
 // Errors are all faults found, by place.
 type Errors []*Error
@@ -75,21 +77,21 @@
 	"continue": true, "fail": true, "and": true, "or": true, "not": true, "matches": true, "true": true, "false": true}
 
 // maxSource bounds a file in octets.
-const maxSource = 1 << 18
+const maxSourceOctets = 1 << 18
 
 type lexer struct {
-	file string
-	src  string
-	at   int
-	line int
-	from int // of the line
-	errs Errors
-	out  []token
+	file      string
+	src       string
+	offset    int
+	line      int
+	lineStart int // of the line
+	errs      Errors
+	tokens    []token
 }
 
-func (l *lexer) pos() Pos { return Pos{l.line, l.at - l.from + 1} }
+func (l *lexer) pos() Pos { return Pos{l.line, l.offset - l.lineStart + 1} }
 
-func (l *lexer) fail(p Pos, format string, args ...any) {
+func (l *lexer) errorAt(p Pos, format string, args ...any) {
 	if len(l.errs) < maxErrors {
 		l.errs = append(l.errs, &Error{l.file, p, fmt.Sprintf(format, args...)})
 	}
@@ -100,149 +102,149 @@
 
 func lex(file, src string) ([]token, Errors) {
 	l := &lexer{file: file, src: src, line: 1}
-	if len(src) > maxSource {
-		l.fail(Pos{1, 1}, "the file has %d octets; %d can be", len(src), maxSource)
+	if len(src) > maxSourceOctets {
+		l.errorAt(Pos{1, 1}, "the file has %d octets; %d can be", len(src), maxSourceOctets)
 		return nil, l.errs
 	}
-	for l.at < len(src) {
-		l.one()
+	for l.offset < len(src) {
+		l.lexToken()
 	}
 	p := l.pos()
-	l.out = append(l.out, token{kind: tNewline, pos: p}, token{kind: tEOF, pos: p})
-	return l.out, l.errs
+	l.tokens = append(l.tokens, token{kind: tNewline, pos: p}, token{kind: tEOF, pos: p})
+	return l.tokens, l.errs
 }
 
-func letter(c byte) bool { return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' }
-func digit(c byte) bool  { return c >= '0' && c <= '9' }
+func isLetter(c byte) bool { return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' }
+func isDigit(c byte) bool  { return c >= '0' && c <= '9' }
 
-var units = map[string]time.Duration{"ms": time.Millisecond, "s": time.Second, "m": time.Minute, "h": time.Hour}
+var durationUnits = map[string]time.Duration{"ms": time.Millisecond, "s": time.Second, "m": time.Minute, "h": time.Hour}
 
-func (l *lexer) one() {
-	c, p, start := l.src[l.at], l.pos(), l.at
+func (l *lexer) lexToken() {
+	c, p, start := l.src[l.offset], l.pos(), l.offset
 	emit := func(t token) {
-		t.pos, t.text = p, l.src[start:l.at]
-		l.out = append(l.out, t)
+		t.pos, t.text = p, l.src[start:l.offset]
+		l.tokens = append(l.tokens, t)
 	}
 	switch {
 	case c == '\n':
-		l.at++
+		l.offset++
 		emit(token{kind: tNewline})
-		l.line, l.from = l.line+1, l.at
+		l.line, l.lineStart = l.line+1, l.offset
 	case c == ' ' || c == '\t' || c == '\r':
-		l.at++
+		l.offset++
 	case c == '#':
-		for l.at < len(l.src) && l.src[l.at] != '\n' {
-			l.at++
+		for l.offset < len(l.src) && l.src[l.offset] != '\n' {
+			l.offset++
 		}
 		emit(token{kind: tComment})
-	case letter(c):
-		for l.at < len(l.src) && (letter(l.src[l.at]) || digit(l.src[l.at])) {
-			l.at++
+	case isLetter(c):
+		for l.offset < len(l.src) && (isLetter(l.src[l.offset]) || isDigit(l.src[l.offset])) {
+			l.offset++
 		}
 		emit(token{kind: tName})
-	case digit(c) || c == '?':
+	case isDigit(c) || c == '?':
 		l.number(emit)
 	case c == '"':
 		l.text(emit)
 	default:
 		for _, op := range []string{"==", "!=", "<=", ">=", "->", ".."} {
-			if strings.HasPrefix(l.src[l.at:], op) {
-				l.at += 2
+			if strings.HasPrefix(l.src[l.offset:], op) {
+				l.offset += 2
 				emit(token{kind: tPunct})
 				return
 			}
 		}
 		if strings.IndexByte("+-*/%<>=(){}[],.:@", c) >= 0 {
-			l.at++
+			l.offset++
 			emit(token{kind: tPunct})
 			return
 		}
-		_, n := utf8.DecodeRuneInString(l.src[l.at:])
-		l.at += n
-		l.fail(p, "%q means nothing here", l.src[start:l.at])
+		_, n := utf8.DecodeRuneInString(l.src[l.offset:])
+		l.offset += n
+		l.errorAt(p, "%q means nothing here", l.src[start:l.offset])
 	}
 }
 
 // number reads an int, a float, a duration such as 1.5s, or a pattern of digits such as 82?1*.
 func (l *lexer) number(emit func(token)) {
-	p, start := l.pos(), l.at
-	for l.at < len(l.src) && (digit(l.src[l.at]) || l.src[l.at] == '?') {
-		l.at++
+	p, start := l.pos(), l.offset
+	for l.offset < len(l.src) && (isDigit(l.src[l.offset]) || l.src[l.offset] == '?') {
+		l.offset++
 	}
-	digits := l.src[start:l.at]
+	digits := l.src[start:l.offset]
 	// Digits with a star right behind them and nothing to multiply with behind that are a pattern: 82* but not 82*3.
-	star := l.at < len(l.src) && l.src[l.at] == '*' && (l.at+1 == len(l.src) || !digit(l.src[l.at+1]) && !letter(l.src[l.at+1]) && l.src[l.at+1] != '(')
+	star := l.offset < len(l.src) && l.src[l.offset] == '*' && (l.offset+1 == len(l.src) || !isDigit(l.src[l.offset+1]) && !isLetter(l.src[l.offset+1]) && l.src[l.offset+1] != '(')
 	if star || strings.Contains(digits, "?") {
-		if l.at < len(l.src) && l.src[l.at] == '*' {
-			l.at++
+		if l.offset < len(l.src) && l.src[l.offset] == '*' {
+			l.offset++
 		}
 		if len(digits) > 24 {
-			l.fail(p, "a pattern of %d digits; 24 can be", len(digits))
+			l.errorAt(p, "a pattern of %d digits; 24 can be", len(digits))
 		}
-		emit(token{kind: tPattern, s: l.src[start:l.at]})
+		emit(token{kind: tPattern, s: l.src[start:l.offset]})
 		return
 	}
-	whole, frac := digits, ""
-	if l.at+1 < len(l.src) && l.src[l.at] == '.' && digit(l.src[l.at+1]) {
-		l.at++
-		from := l.at
-		for l.at < len(l.src) && digit(l.src[l.at]) {
-			l.at++
+	intPart, fracPart := digits, ""
+	if l.offset+1 < len(l.src) && l.src[l.offset] == '.' && isDigit(l.src[l.offset+1]) {
+		l.offset++
+		from := l.offset
+		for l.offset < len(l.src) && isDigit(l.src[l.offset]) {
+			l.offset++
 		}
-		frac = l.src[from:l.at]
+		fracPart = l.src[from:l.offset]
 	}
-	from := l.at
-	for l.at < len(l.src) && letter(l.src[l.at]) {
-		l.at++
+	from := l.offset
+	for l.offset < len(l.src) && isLetter(l.src[l.offset]) {
+		l.offset++
 	}
-	unit := l.src[from:l.at]
-	if len(whole) > 18 || len(frac) > 18 {
-		l.fail(p, "a number of %d digits; 18 can be", len(whole)+len(frac))
-		whole, frac = "0", ""
+	unit := l.src[from:l.offset]
+	if len(intPart) > 18 || len(fracPart) > 18 {
+		l.errorAt(p, "a number of %d digits; 18 can be", len(intPart)+len(fracPart))
+		intPart, fracPart = "0", ""
 	}
-	var n int64
-	for _, c := range whole {
-		n = n*10 + int64(c-'0')
+	var value int64
+	for _, c := range intPart {
+		value = value*10 + int64(c-'0')
 	}
-	f := float64(n)
+	f := float64(value)
 	scale := 1.0
-	for _, c := range frac {
+	for _, c := range fracPart {
 		scale /= 10
 		f += float64(c-'0') * scale
 	}
-	switch d, ok := units[unit]; {
+	switch d, ok := durationUnits[unit]; {
 	case ok:
 		if f*float64(d) > float64(1<<62) {
-			l.fail(p, "a duration beyond all bounds")
+			l.errorAt(p, "a duration beyond all bounds")
 			f = 0
 		}
 		emit(token{kind: tDuration, i: int64(f*float64(d) + 0.5)})
 	case unit != "":
-		l.fail(p, "%q is no unit of time; ms, s, m and h can be", unit)
-		emit(token{kind: tInt, i: n})
-	case frac != "":
+		l.errorAt(p, "%q is no unit of time; ms, s, m and h can be", unit)
+		emit(token{kind: tInt, i: value})
+	case fracPart != "":
 		emit(token{kind: tFloat, f: f})
 	default:
-		emit(token{kind: tInt, i: n})
+		emit(token{kind: tInt, i: value})
 	}
 }
 
 func (l *lexer) text(emit func(token)) {
 	p := l.pos()
 	var b strings.Builder
-	for l.at++; ; l.at++ {
-		if l.at >= len(l.src) || l.src[l.at] == '\n' {
-			l.fail(p, "the string has no end on its line")
+	for l.offset++; ; l.offset++ {
+		if l.offset >= len(l.src) || l.src[l.offset] == '\n' {
+			l.errorAt(p, "the string has no end on its line")
 			break
 		}
-		c := l.src[l.at]
+		c := l.src[l.offset]
 		if c == '"' {
-			l.at++
+			l.offset++
 			break
 		}
-		if c == '\\' && l.at+1 < len(l.src) {
-			l.at++
-			switch e := l.src[l.at]; e {
+		if c == '\\' && l.offset+1 < len(l.src) {
+			l.offset++
+			switch e := l.src[l.offset]; e {
 			case 'n':
 				c = '\n'
 			case 't':
@@ -250,14 +252,14 @@
 			case '"', '\\':
 				c = e
 			default:
-				l.fail(l.pos(), "\\%c is no escape; \\n, \\t, \\\" and \\\\ can be", e)
+				l.errorAt(l.pos(), "\\%c is no escape; \\n, \\t, \\\" and \\\\ can be", e)
 				continue
 			}
 		}
 		b.WriteByte(c)
 	}
 	if !utf8.ValidString(b.String()) {
-		l.fail(p, "the string is not UTF-8")
+		l.errorAt(p, "the string is not UTF-8")
 	}
 	emit(token{kind: tString, s: strings.ToValidUTF8(b.String(), "?")})
 }
--- a/script/vm.go
+++ b/script/vm.go
@@ -11,27 +11,27 @@
 
 // ref is a string, or a list or map.
 type ref struct {
-	s string
-	o *object
+	s   string
+	obj *object
 }
 
 // object is a list or a map: numbers or references, for a map in the order of its keys.
 type object struct {
-	n    []int64
-	r    []ref
-	keys []string
-	at   map[string]int // of keys, once there are many
-	wide bool
+	n         []int64
+	r         []ref
+	keys      []string
+	at        map[string]int // of keys, once there are many
+	holdsRefs bool
 }
 
 func (o *object) len() int {
-	if o.wide {
+	if o.holdsRefs {
 		return len(o.r)
 	}
 	return len(o.n)
 }
 
-const fewKeys = 8
+const maxLinearKeys = 8
 
 func (o *object) find(k string) int {
 	if o.at != nil {
@@ -48,8 +48,8 @@
 	return -1
 }
 
-func bits(f float64) int64  { return int64(math.Float64bits(f)) }
-func float(n int64) float64 { return math.Float64frombits(uint64(n)) }
+func floatToBits(f float64) int64 { return int64(math.Float64bits(f)) }
+func bitsToFloat(n int64) float64 { return math.Float64frombits(uint64(n)) }
 
 // The ways in which a run ends before its end.
 var (
@@ -62,13 +62,13 @@
 type RuntimeError struct {
 	Program string
 	Line    int
-	What    string
+	Message string
 	Err     error
 }
 
-func (f *RuntimeError) Error() string { return fmt.Sprintf("%s:%d: %s", f.Program, f.Line, f.What) }
+func (e *RuntimeError) Error() string { return fmt.Sprintf("%s:%d: %s", e.Program, e.Line, e.Message) }
 
-func (f *RuntimeError) Unwrap() error { return f.Err }
+func (e *RuntimeError) Unwrap() error { return e.Err }
 
 // Event is what a hook is told: numbers and strings at the places that hookFields names.
 type Event struct {
@@ -78,10 +78,10 @@
 
 // Bounds of what a run can ask for.
 const (
-	maxTags     = 16
-	maxTag      = 64
-	maxExcludes = 32
-	maxLogs     = 16
+	maxTags      = 16
+	maxTagOctets = 64
+	maxExcludes  = 32
+	maxLogFields = 16
 )
 
 // LogField is a field for a log line.
@@ -108,13 +108,13 @@
 
 // VM runs programs, one at a time. It keeps its registers between runs.
 type VM struct {
-	n      []int64
-	r      []ref
-	frames []frame
-	setN   []change
+	n         []int64
+	r         []ref
+	frames    []frame
+	varWrites []varWrite
 }
 
-type change struct {
+type varWrite struct {
 	slot int
 	n    int64
 	s    string
@@ -131,35 +131,35 @@
 
 // Run runs a hook of a program on an event. st is the program's state, now the time that rates count by. What the hook
 // asked for is in res, whose values count only when the error is nil: a failed run asks for nothing. The error is a *Fault.
-func (vm *VM) Run(p *Program, hook int, ev *Event, st *State, now time.Duration, res *Result) error {
-	h := &p.Hooks[hook]
-	fn := p.fns[h.fn]
+func (vm *VM) Run(p *Program, hookIndex int, event *Event, state *State, now time.Duration, res *Result) error {
+	hook := &p.Hooks[hookIndex]
+	fn := p.fns[hook.fn]
 	if len(vm.n) < p.stackN {
 		vm.n = make([]int64, p.stackN)
 	}
 	if len(vm.r) < p.stackR {
 		vm.r = make([]ref, p.stackR)
 	}
-	vm.frames, vm.setN = vm.frames[:0], vm.setN[:0]
+	vm.frames, vm.varWrites = vm.frames[:0], vm.varWrites[:0]
 	var vars *varSet
-	if st != nil {
-		vars = st.vars.Load()
+	if state != nil {
+		vars = state.vars.Load()
 	}
-	line, what, err := vm.run(p, fn, ev, st, vars, now, res, h.Steps, h.Memory)
+	line, message, err := vm.run(p, fn, event, state, vars, now, res, hook.Steps, hook.Memory)
 	clear(vm.r[:p.stackR]) // nothing of a call stays for the next
-	if err == nil && what == "" {
-		if len(vm.setN) > 0 {
-			st.setVars(p, vm.setN)
+	if err == nil && message == "" {
+		if len(vm.varWrites) > 0 {
+			state.commitVars(p, vm.varWrites)
 		}
 		return nil
 	}
-	if what == "" {
-		what = err.Error()
+	if message == "" {
+		message = err.Error()
 	}
-	return &RuntimeError{p.Name, line, what, err}
+	return &RuntimeError{p.Name, line, message, err}
 }
 
-func truth(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
@@ -167,12 +167,12 @@
 }
 
 // matches tells whether digits match a pattern: ? is any one digit, a * at the end whatever follows.
-func matches(s, pattern string) bool {
-	rest := false
+func matchesPattern(s, pattern string) bool {
+	prefixOnly := false
 	if n := len(pattern); n > 0 && pattern[n-1] == '*' {
-		rest, pattern = true, pattern[:n-1]
+		prefixOnly, pattern = true, pattern[:n-1]
 	}
-	if len(s) < len(pattern) || !rest && len(s) != len(pattern) {
+	if len(s) < len(pattern) || !prefixOnly && len(s) != len(pattern) {
 		return false
 	}
 	for i := range len(pattern) {
@@ -185,18 +185,18 @@
 
 // run is the interpreter. Every instruction costs a step, and what works through a list or string one more for each 16
 // elements, so that steps bound the time.
-func (vm *VM) run(p *Program, fn *function, ev *Event, st *State, vars *varSet, now time.Duration, res *Result, steps, memory int) (line int, what string, err error) {
-	all, allMemory := steps, memory
+func (vm *VM) run(p *Program, fn *function, event *Event, state *State, vars *varSet, now time.Duration, res *Result, stepsLeft, memoryLeft int) (line int, message string, err error) {
+	stepBudget, memoryBudget := stepsLeft, memoryLeft
 	pc, baseN, baseR := 0, 0, 0
 	code := fn.code
 	n, r := vm.n, vm.r
-	defer func() { res.Steps, res.Memory = all-steps, allMemory-memory }()
+	defer func() { res.Steps, res.Memory = stepBudget-stepsLeft, memoryBudget-memoryLeft }()
 	at := func() int { return int(fn.lines[min(max(pc-1, 0), len(fn.lines)-1)]) }
 	for {
-		if steps <= 0 {
+		if stepsLeft <= 0 {
 			return at(), "", ErrSteps
 		}
-		steps--
+		stepsLeft--
 		i := &code[pc]
 		pc++
 		a, b, c := int(i.a), int(i.b), int(i.c)
@@ -206,42 +206,42 @@
 			n[baseN+a] = n[baseN+b]
 		case opMoveR:
 			r[baseR+a] = r[baseR+b]
-		case opKN:
+		case opConstN:
 			n[baseN+a] = p.constN[b]
-		case opKR:
+		case opConstR:
 			r[baseR+a] = ref{s: p.constS[b]}
-		case opGN:
+		case opGlobalN:
 			n[baseN+a] = p.globalN[b]
-		case opGR:
+		case opGlobalR:
 			r[baseR+a] = p.globalR[b]
-		case opVN:
+		case opVarN:
 			n[baseN+a] = vars.n[b]
-		case opVR:
+		case opVarR:
 			r[baseR+a] = ref{s: vars.s[b]}
-		case opSetVN:
-			vm.setN = append(vm.setN, change{a, n[baseN+b], ""})
-			vars = vars.with(change{a, n[baseN+b], ""})
-			if memory -= 16 * len(vars.n); memory < 0 {
+		case opSetVarN:
+			vm.varWrites = append(vm.varWrites, varWrite{a, n[baseN+b], ""})
+			vars = vars.withWrite(varWrite{a, n[baseN+b], ""})
+			if memoryLeft -= 16 * len(vars.n); memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
-		case opSetVR:
+		case opSetVarR:
 			s := strings.Clone(r[baseR+b].s)
-			vm.setN = append(vm.setN, change{a, 0, s})
-			vars = vars.with(change{a, 0, s})
-			if memory -= 16*len(vars.n) + len(s); memory < 0 {
+			vm.varWrites = append(vm.varWrites, varWrite{a, 0, s})
+			vars = vars.withWrite(varWrite{a, 0, s})
+			if memoryLeft -= 16*len(vars.n) + len(s); memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
 		case opFieldN:
-			n[baseN+a] = ev.N[b]
+			n[baseN+a] = event.N[b]
 		case opFieldR:
-			r[baseR+a] = ref{s: ev.S[b]}
+			r[baseR+a] = ref{s: event.S[b]}
 		case opCopy:
-			o, size := copyOf(r[baseR+b].o)
-			if memory -= size; memory < 0 {
+			obj, size := deepCopy(r[baseR+b].obj)
+			if memoryLeft -= size; memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
-			steps -= size / 64
-			r[baseR+a] = ref{o: o}
+			stepsLeft -= size / 64
+			r[baseR+a] = ref{obj: obj}
 
 		case opAddI:
 			n[baseN+a] = n[baseN+b] + n[baseN+c]
@@ -267,53 +267,53 @@
 		case opNegI:
 			n[baseN+a] = -n[baseN+b]
 		case opAddF:
-			n[baseN+a] = bits(float(n[baseN+b]) + float(n[baseN+c]))
+			n[baseN+a] = floatToBits(bitsToFloat(n[baseN+b]) + bitsToFloat(n[baseN+c]))
 		case opSubF:
-			n[baseN+a] = bits(float(n[baseN+b]) - float(n[baseN+c]))
+			n[baseN+a] = floatToBits(bitsToFloat(n[baseN+b]) - bitsToFloat(n[baseN+c]))
 		case opMulF:
-			n[baseN+a] = bits(float(n[baseN+b]) * float(n[baseN+c]))
+			n[baseN+a] = floatToBits(bitsToFloat(n[baseN+b]) * bitsToFloat(n[baseN+c]))
 		case opDivF:
-			if float(n[baseN+c]) == 0 {
+			if bitsToFloat(n[baseN+c]) == 0 {
 				return at(), "division by zero", nil
 			}
-			n[baseN+a] = bits(float(n[baseN+b]) / float(n[baseN+c]))
+			n[baseN+a] = floatToBits(bitsToFloat(n[baseN+b]) / bitsToFloat(n[baseN+c]))
 		case opNegF:
-			n[baseN+a] = bits(-float(n[baseN+b]))
+			n[baseN+a] = floatToBits(-bitsToFloat(n[baseN+b]))
 		case opNot:
 			n[baseN+a] = 1 - n[baseN+b]
-		case opCat:
+		case opConcat:
 			x, y := r[baseR+b].s, r[baseR+c].s
 			size := len(x) + len(y)
-			if memory -= size; memory < 0 {
+			if memoryLeft -= size; memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
-			steps -= size / 64
+			stepsLeft -= size / 64
 			r[baseR+a] = ref{s: x + y}
 		case opLtI:
-			n[baseN+a] = truth(n[baseN+b] < n[baseN+c])
+			n[baseN+a] = boolToInt(n[baseN+b] < n[baseN+c])
 		case opLeI:
-			n[baseN+a] = truth(n[baseN+b] <= n[baseN+c])
+			n[baseN+a] = boolToInt(n[baseN+b] <= n[baseN+c])
 		case opEqN:
-			n[baseN+a] = truth(n[baseN+b] == n[baseN+c])
+			n[baseN+a] = boolToInt(n[baseN+b] == n[baseN+c])
 		case opLtF:
-			n[baseN+a] = truth(float(n[baseN+b]) < float(n[baseN+c]))
+			n[baseN+a] = boolToInt(bitsToFloat(n[baseN+b]) < bitsToFloat(n[baseN+c]))
 		case opLeF:
-			n[baseN+a] = truth(float(n[baseN+b]) <= float(n[baseN+c]))
+			n[baseN+a] = boolToInt(bitsToFloat(n[baseN+b]) <= bitsToFloat(n[baseN+c]))
 		case opEqF:
-			n[baseN+a] = truth(float(n[baseN+b]) == float(n[baseN+c]))
+			n[baseN+a] = boolToInt(bitsToFloat(n[baseN+b]) == bitsToFloat(n[baseN+c]))
 		case opLtS:
-			steps -= min(len(r[baseR+b].s), len(r[baseR+c].s)) / 64
-			n[baseN+a] = truth(r[baseR+b].s < r[baseR+c].s)
+			stepsLeft -= min(len(r[baseR+b].s), len(r[baseR+c].s)) / 64
+			n[baseN+a] = boolToInt(r[baseR+b].s < r[baseR+c].s)
 		case opLeS:
-			steps -= min(len(r[baseR+b].s), len(r[baseR+c].s)) / 64
-			n[baseN+a] = truth(r[baseR+b].s <= r[baseR+c].s)
+			stepsLeft -= min(len(r[baseR+b].s), len(r[baseR+c].s)) / 64
+			n[baseN+a] = boolToInt(r[baseR+b].s <= r[baseR+c].s)
 		case opEqS:
-			steps -= min(len(r[baseR+b].s), len(r[baseR+c].s)) / 64
-			n[baseN+a] = truth(r[baseR+b].s == r[baseR+c].s)
+			stepsLeft -= min(len(r[baseR+b].s), len(r[baseR+c].s)) / 64
+			n[baseN+a] = boolToInt(r[baseR+b].s == r[baseR+c].s)
 		case opMatch:
-			n[baseN+a] = truth(matches(r[baseR+b].s, p.patterns[c]))
+			n[baseN+a] = boolToInt(matchesPattern(r[baseR+b].s, p.patterns[c]))
 		case opInN:
-			l, x := r[baseR+c].o, n[baseN+b]
+			l, x := r[baseR+c].obj, n[baseN+b]
 			found := int64(0)
 			for _, v := range l.n {
 				if v == x {
@@ -321,18 +321,18 @@
 					break
 				}
 			}
-			steps -= len(l.n) / 16
+			stepsLeft -= len(l.n) / 16
 			n[baseN+a] = found
 		case opInR:
-			l, x := r[baseR+c].o, r[baseR+b].s
+			l, x := r[baseR+c].obj, r[baseR+b].s
 			found := int64(0)
 			if l.at != nil { // a declared constant of many
 				_, ok := l.at[x]
-				n[baseN+a] = truth(ok)
+				n[baseN+a] = boolToInt(ok)
 				break
 			}
 			for _, v := range l.r {
-				steps -= 1 + min(len(v.s), len(x))/64
+				stepsLeft -= 1 + min(len(v.s), len(x))/64
 				if v.s == x {
 					found = 1
 					break
@@ -340,46 +340,46 @@
 			}
 			n[baseN+a] = found
 		case opInMap:
-			n[baseN+a] = truth(r[baseR+c].o.find(r[baseR+b].s) >= 0)
+			n[baseN+a] = boolToInt(r[baseR+c].obj.find(r[baseR+b].s) >= 0)
 
 		case opJump:
 			pc = a
-		case opJumpF:
+		case opJumpFalse:
 			if n[baseN+a] == 0 {
 				pc = b
 			}
-		case opJumpT:
+		case opJumpTrue:
 			if n[baseN+a] != 0 {
 				pc = b
 			}
-		case opJNLtI:
+		case opJumpNotLtI:
 			if n[baseN+a] >= n[baseN+b] {
 				pc = c
 			}
-		case opJNLeI:
+		case opJumpNotLeI:
 			if n[baseN+a] > n[baseN+b] {
 				pc = c
 			}
-		case opJNEqN:
+		case opJumpNotEqN:
 			if n[baseN+a] != n[baseN+b] {
 				pc = c
 			}
-		case opJEqN:
+		case opJumpEqN:
 			if n[baseN+a] == n[baseN+b] {
 				pc = c
 			}
-		case opJNEqS:
-			steps -= min(len(r[baseR+a].s), len(r[baseR+b].s)) / 64
+		case opJumpNotEqS:
+			stepsLeft -= min(len(r[baseR+a].s), len(r[baseR+b].s)) / 64
 			if r[baseR+a].s != r[baseR+b].s {
 				pc = c
 			}
-		case opJEqS:
-			steps -= min(len(r[baseR+a].s), len(r[baseR+b].s)) / 64
+		case opJumpEqS:
+			stepsLeft -= min(len(r[baseR+a].s), len(r[baseR+b].s)) / 64
 			if r[baseR+a].s == r[baseR+b].s {
 				pc = c
 			}
-		case opJNMatch:
-			if !matches(r[baseR+a].s, p.patterns[b]) {
+		case opJumpNotMatch:
+			if !matchesPattern(r[baseR+a].s, p.patterns[b]) {
 				pc = c
 			}
 		case opLoop:
@@ -389,98 +389,98 @@
 			}
 
 		case opListN:
-			if memory -= 48 + 8*c; memory < 0 {
+			if memoryLeft -= 48 + 8*c; memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
-			steps -= c / 16
-			r[baseR+a] = ref{o: &object{n: append([]int64(nil), n[baseN+b:baseN+b+c]...)}}
+			stepsLeft -= c / 16
+			r[baseR+a] = ref{obj: &object{n: append([]int64(nil), n[baseN+b:baseN+b+c]...)}}
 		case opListR:
-			if memory -= 48 + 24*c; memory < 0 {
+			if memoryLeft -= 48 + 24*c; memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
-			steps -= c / 16
-			r[baseR+a] = ref{o: &object{r: append([]ref(nil), r[baseR+b:baseR+b+c]...), wide: true}}
-		case opMapN:
-			if memory -= 96; memory < 0 {
+			stepsLeft -= c / 16
+			r[baseR+a] = ref{obj: &object{r: append([]ref(nil), r[baseR+b:baseR+b+c]...), holdsRefs: true}}
+		case opNewMap:
+			if memoryLeft -= 96; memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
-			r[baseR+a] = ref{o: &object{wide: b == 1}}
+			r[baseR+a] = ref{obj: &object{holdsRefs: b == 1}}
 		case opIndexN, opIndexR:
-			o, k := r[baseR+b].o, n[baseN+c]
-			if k < 0 || k >= int64(o.len()) {
-				return at(), fmt.Sprintf("index %d of a list of %d", k, o.len()), nil
+			obj, k := r[baseR+b].obj, n[baseN+c]
+			if k < 0 || k >= int64(obj.len()) {
+				return at(), fmt.Sprintf("index %d of a list of %d", k, obj.len()), nil
 			}
 			if i.op == opIndexN {
-				n[baseN+a] = o.n[k]
+				n[baseN+a] = obj.n[k]
 			} else {
-				r[baseR+a] = o.r[k]
+				r[baseR+a] = obj.r[k]
 			}
-		case opSetN, opSetR:
-			o, k := r[baseR+a].o, n[baseN+b]
-			if k < 0 || k >= int64(o.len()) {
-				return at(), fmt.Sprintf("index %d of a list of %d", k, o.len()), nil
+		case opSetIndexN, opSetIndexR:
+			obj, k := r[baseR+a].obj, n[baseN+b]
+			if k < 0 || k >= int64(obj.len()) {
+				return at(), fmt.Sprintf("index %d of a list of %d", k, obj.len()), nil
 			}
-			if i.op == opSetN {
-				o.n[k] = n[baseN+c]
+			if i.op == opSetIndexN {
+				obj.n[k] = n[baseN+c]
 			} else {
-				o.r[k] = r[baseR+c]
+				obj.r[k] = r[baseR+c]
 			}
 		case opMapGetN, opMapGetR:
-			o, k := r[baseR+b].o, r[baseR+c].s
-			x := o.find(k)
+			obj, k := r[baseR+b].obj, r[baseR+c].s
+			x := obj.find(k)
 			if x < 0 {
-				return at(), fmt.Sprintf("no key %q", clip(k)), nil
+				return at(), fmt.Sprintf("no key %q", truncate(k)), nil
 			}
 			if i.op == opMapGetN {
-				n[baseN+a] = o.n[x]
+				n[baseN+a] = obj.n[x]
 			} else {
-				r[baseR+a] = o.r[x]
+				r[baseR+a] = obj.r[x]
 			}
 		case opMapSetN, opMapSetR:
-			o, k := r[baseR+a].o, r[baseR+b].s
-			x := o.find(k)
+			obj, k := r[baseR+a].obj, r[baseR+b].s
+			x := obj.find(k)
 			if x < 0 {
-				if len(o.keys) >= maxList {
-					return at(), fmt.Sprintf("a map of more than %d keys", maxList), nil
+				if len(obj.keys) >= maxListLen {
+					return at(), fmt.Sprintf("a map of more than %d keys", maxListLen), nil
 				}
-				if memory -= 64; memory < 0 {
+				if memoryLeft -= 64; memoryLeft < 0 {
 					return at(), "", ErrMemory
 				}
-				x = len(o.keys)
-				o.keys = append(o.keys, k)
-				if o.wide {
-					o.r = append(o.r, ref{})
+				x = len(obj.keys)
+				obj.keys = append(obj.keys, k)
+				if obj.holdsRefs {
+					obj.r = append(obj.r, ref{})
 				} else {
-					o.n = append(o.n, 0)
+					obj.n = append(obj.n, 0)
 				}
-				if len(o.keys) > fewKeys {
-					if o.at == nil {
-						o.at = make(map[string]int, 2*fewKeys)
-						for i, k := range o.keys {
-							o.at[k] = i
+				if len(obj.keys) > maxLinearKeys {
+					if obj.at == nil {
+						obj.at = make(map[string]int, 2*maxLinearKeys)
+						for i, k := range obj.keys {
+							obj.at[k] = i
 						}
 					}
-					o.at[k] = x
+					obj.at[k] = x
 				}
 			}
 			if i.op == opMapSetN {
-				o.n[x] = n[baseN+c]
+				obj.n[x] = n[baseN+c]
 			} else {
-				o.r[x] = r[baseR+c]
+				obj.r[x] = r[baseR+c]
 			}
 		case opLenS:
 			n[baseN+a] = int64(len(r[baseR+b].s))
-		case opLenO:
-			n[baseN+a] = int64(r[baseR+b].o.len())
+		case opLenObject:
+			n[baseN+a] = int64(r[baseR+b].obj.len())
 		case opNextN:
-			if o, k := r[baseR+b].o, n[baseN+a]; k < int64(len(o.n)) {
-				n[baseN+c] = o.n[k]
+			if obj, k := r[baseR+b].obj, n[baseN+a]; k < int64(len(obj.n)) {
+				n[baseN+c] = obj.n[k]
 				n[baseN+a]++
 				pc++
 			}
 		case opNextR:
-			if o, k := r[baseR+b].o, n[baseN+a]; k < int64(len(o.r)) {
-				r[baseR+c] = o.r[k]
+			if obj, k := r[baseR+b].obj, n[baseN+a]; k < int64(len(obj.r)) {
+				r[baseR+c] = obj.r[k]
 				n[baseN+a]++
 				pc++
 			}
@@ -499,34 +499,34 @@
 			fn, pc, baseN, baseR = f.fn, f.pc, f.n, f.r
 			code = fn.code
 		case opFail:
-			return at(), clip(r[baseR+a].s), nil
+			return at(), truncate(r[baseR+a].s), nil
 
-		case opTextI, opTextF, opTextB, opTextD:
-			if memory -= 24; memory < 0 {
+		case opIntToText, opFloatToText, opBoolToText, opDurationToText:
+			if memoryLeft -= 24; memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
 			v, s := n[baseN+b], ""
 			switch i.op {
-			case opTextI:
+			case opIntToText:
 				s = strconv.FormatInt(v, 10)
-			case opTextF:
-				s = strconv.FormatFloat(float(v), 'g', -1, 64)
-			case opTextB:
+			case opFloatToText:
+				s = strconv.FormatFloat(bitsToFloat(v), 'g', -1, 64)
+			case opBoolToText:
 				s = strconv.FormatBool(v != 0)
 			default:
 				s = time.Duration(v).String()
 			}
 			r[baseR+a] = ref{s: s}
-		case opFtoI:
-			f := float(n[baseN+b])
+		case opFloatToInt:
+			f := bitsToFloat(n[baseN+b])
 			if math.IsNaN(f) || f >= 1<<63 || f < -1<<63 {
 				return at(), "a float beyond the ints", nil
 			}
 			n[baseN+a] = int64(f)
-		case opItoF:
-			n[baseN+a] = bits(float64(n[baseN+b]))
+		case opIntToFloat:
+			n[baseN+a] = floatToBits(float64(n[baseN+b]))
 		case opSeconds:
-			n[baseN+a] = bits(time.Duration(n[baseN+b]).Seconds())
+			n[baseN+a] = floatToBits(time.Duration(n[baseN+b]).Seconds())
 		case opMinI:
 			n[baseN+a] = min(n[baseN+b], n[baseN+c])
 		case opMaxI:
@@ -537,29 +537,29 @@
 			to := min(max(n[baseN+c+1], from), int64(len(s)))
 			r[baseR+a] = ref{s: s[from:to]}
 		case opAppend:
-			o := r[baseR+a].o
-			if o.len() >= maxList {
-				return at(), fmt.Sprintf("a list of more than %d elements", maxList), nil
+			obj := r[baseR+a].obj
+			if obj.len() >= maxListLen {
+				return at(), fmt.Sprintf("a list of more than %d elements", maxListLen), nil
 			}
-			if memory -= 24; memory < 0 {
+			if memoryLeft -= 24; memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
 			if c == 1 {
-				o.r = append(o.r, r[baseR+b])
+				obj.r = append(obj.r, r[baseR+b])
 			} else {
-				o.n = append(o.n, n[baseN+b])
+				obj.n = append(obj.n, n[baseN+b])
 			}
 		case opKeys:
-			o := r[baseR+b].o
-			if memory -= 48 + 24*len(o.keys); memory < 0 {
+			obj := r[baseR+b].obj
+			if memoryLeft -= 48 + 24*len(obj.keys); memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
-			steps -= len(o.keys) / 16
-			l := &object{wide: true, r: make([]ref, len(o.keys))}
-			for i, k := range o.keys {
+			stepsLeft -= len(obj.keys) / 16
+			l := &object{holdsRefs: true, r: make([]ref, len(obj.keys))}
+			for i, k := range obj.keys {
 				l.r[i].s = k
 			}
-			r[baseR+a] = ref{o: l}
+			r[baseR+a] = ref{obj: l}
 
 		case opRefuse:
 			v := n[baseN+a]
@@ -574,7 +574,7 @@
 		case opRewrite:
 			s := r[baseR+a].s
 			if len(s) < 1 || len(s) > 24 || strings.Trim(s, "0123456789") != "" {
-				return at(), fmt.Sprintf("rewrite(%q): 1 to 24 digits are wanted", clip(s)), nil
+				return at(), fmt.Sprintf("rewrite(%q): 1 to 24 digits are wanted", truncate(s)), nil
 			}
 			res.Rewrite = s
 		case opExclude:
@@ -582,58 +582,58 @@
 				return at(), fmt.Sprintf("more than %d exchanges excluded", maxExcludes), nil
 			}
 			res.Exclude = append(res.Exclude, int(n[baseN+a]))
-		case opTreat:
-			if v := n[baseN+a]; !Treatable(v) {
+		case opTreatAs:
+			if v := n[baseN+a]; !ValidTreatAs(v) {
 				return at(), fmt.Sprintf("treat_as(%d): 17, 34, 41 and 42 can be", v), nil
 			} else {
 				res.TreatAs = int(v)
 			}
 		case opTag:
 			s := r[baseR+a].s
-			if len(res.Tags) >= maxTags || len(s) > maxTag {
-				return at(), fmt.Sprintf("more than %d tags, or one of more than %d octets", maxTags, maxTag), nil
+			if len(res.Tags) >= maxTags || len(s) > maxTagOctets {
+				return at(), fmt.Sprintf("more than %d tags, or one of more than %d octets", maxTags, maxTagOctets), nil
 			}
 			res.Tags = append(res.Tags, s)
 		case opLog:
 			k, v := r[baseR+a].s, r[baseR+b].s
-			if len(res.Logs) >= maxLogs || len(k) > maxTag || len(v) > 256 {
-				return at(), fmt.Sprintf("more than %d log fields, or one of more than 256 octets", maxLogs), nil
+			if len(res.Logs) >= maxLogFields || len(k) > maxTagOctets || len(v) > 256 {
+				return at(), fmt.Sprintf("more than %d log fields, or one of more than 256 octets", maxLogFields), nil
 			}
 			res.Logs = append(res.Logs, LogField{k, v})
 		case opRateAdd:
-			steps -= 4
-			st.rates[a].add(r[baseR+b].s, now)
+			stepsLeft -= 4
+			state.rates[a].add(r[baseR+b].s, now)
 		case opRateGet:
-			steps -= 4
-			n[baseN+a] = bits(st.rates[c].perSecond(r[baseR+b].s, now))
+			stepsLeft -= 4
+			n[baseN+a] = floatToBits(state.rates[c].perSecond(r[baseR+b].s, now))
 		case opTopAdd:
-			steps -= 8
-			st.tops[a].Add(r[baseR+b].s)
+			stepsLeft -= 8
+			state.tops[a].Add(r[baseR+b].s)
 		case opTopCount:
-			steps -= 4
-			n[baseN+a] = st.tops[c].Count(r[baseR+b].s)
+			stepsLeft -= 4
+			n[baseN+a] = state.tops[c].Count(r[baseR+b].s)
 		case opTopMost:
 			want := int(min(max(n[baseN+b], 0), 100))
-			steps -= 64 + st.tops[c].size/4
-			if memory -= 48 + 64*want; memory < 0 {
+			stepsLeft -= 64 + state.tops[c].size/4
+			if memoryLeft -= 48 + 64*want; memoryLeft < 0 {
 				return at(), "", ErrMemory
 			}
-			l := &object{wide: true}
-			for _, k := range st.tops[c].Most(want) {
+			l := &object{holdsRefs: true}
+			for _, k := range state.tops[c].Most(want) {
 				l.r = append(l.r, ref{s: k})
 			}
-			r[baseR+a] = ref{o: l}
-		case opCountAdd:
-			st.counts[a].Add(n[baseN+b])
-		case opCountGet:
-			n[baseN+a] = st.counts[b].Load()
+			r[baseR+a] = ref{obj: l}
+		case opCounterAdd:
+			state.counters[a].Add(n[baseN+b])
+		case opCounterGet:
+			n[baseN+a] = state.counters[b].Load()
 		default:
 			return at(), fmt.Sprintf("unknown instruction %d", i.op), nil
 		}
 	}
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 200 {
 		return s[:200] + "..."
 	}
@@ -641,25 +641,25 @@
 }
 
 // copyOf copies a list or map with all that it holds, and tells the octets.
-func copyOf(o *object) (*object, int) {
-	c := &object{wide: o.wide, n: append([]int64(nil), o.n...), keys: append([]string(nil), o.keys...)}
-	size := 48 + 8*len(o.n) + 24*len(o.r) + 24*len(o.keys)
-	if o.r != nil {
-		c.r = make([]ref, len(o.r))
-		for i, x := range o.r {
-			c.r[i] = x
-			if x.o != nil {
-				var more int
-				c.r[i].o, more = copyOf(x.o)
-				size += more
+func deepCopy(obj *object) (*object, int) {
+	clone := &object{holdsRefs: obj.holdsRefs, n: append([]int64(nil), obj.n...), keys: append([]string(nil), obj.keys...)}
+	size := 48 + 8*len(obj.n) + 24*len(obj.r) + 24*len(obj.keys)
+	if obj.r != nil {
+		clone.r = make([]ref, len(obj.r))
+		for i, x := range obj.r {
+			clone.r[i] = x
+			if x.obj != nil {
+				var nestedSize int
+				clone.r[i].obj, nestedSize = deepCopy(x.obj)
+				size += nestedSize
 			}
 		}
 	}
-	if o.at != nil && o.keys != nil { // the index of a constant list is not that of a list that may change
-		c.at = make(map[string]int, len(o.at))
-		for k, v := range o.at {
-			c.at[k] = v
+	if obj.at != nil && obj.keys != nil { // the index of a constant list is not that of a list that may change
+		clone.at = make(map[string]int, len(obj.at))
+		for k, v := range obj.at {
+			clone.at[k] = v
 		}
 	}
-	return c, size
+	return clone, size
 }
