--- a/script/ast.go
+++ b/script/ast.go
@@ -5,13 +5,13 @@
 // Type is a type of the language.
 type Type struct {
 	kind typeKind
-	elem *Type // of lists and maps
+	elem *Type // element type of lists and maps; nil: any
 }
 
 type typeKind uint8
 
 const (
-	kNone typeKind = iota // of what has no value, and of what is wrong already
+	kNone typeKind = iota // no value, or an expression with a reported error
 	kInt
 	kFloat
 	kBool
@@ -45,6 +45,7 @@
 	return [...]string{"nothing", "int", "float", "bool", "duration", "string", "pattern"}[t.kind]
 }
 
+// compatibleWith reports whether two types are equal; a list or map without an element type equals all of its kind.
 func (t Type) compatibleWith(u Type) bool {
 	if t.kind != u.kind {
 		return false
@@ -52,10 +53,10 @@
 	return t.elem == nil || u.elem == nil || t.elem.compatibleWith(*u.elem)
 }
 
-// wide tells that values live in the bank of references.
+// isRef reports whether values of the type are kept in the bank of references.
 func (t Type) isRef() bool { return t.kind >= kString }
 
-// file is a parsed program.
+// file is the syntax tree of a source file.
 type file struct {
 	name     string
 	decls    []decl
@@ -104,7 +105,7 @@
 		used   bool
 		index  int
 		calls  map[*fnDecl]Pos
-		locals []*local // of the parameters
+		locals []*local // one for each parameter
 	}
 	attr struct {
 		pos   Pos
@@ -114,7 +115,7 @@
 	hookDecl struct {
 		pos             Pos
 		attrs           []attr
-		hook            string // arrival ... or every
+		hook            string // one of HookNames
 		every           time.Duration
 		body            *block
 		calls           map[*fnDecl]Pos
@@ -158,14 +159,14 @@
 	forStmt struct {
 		pos      Pos
 		name     string
-		from, to expr // to: of a range, else nil
+		from, to expr // to is nil unless the loop is over a range
 		body     *block
 		v        *local
 	}
 	arm struct {
 		pos       Pos
-		values    []expr // none: else
-		rangeEnds []expr // end of a range for the value at the same place, or nil
+		values    []expr // empty for else
+		rangeEnds []expr // for each value the end of its range, or nil
 		body      *block
 	}
 	matchStmt struct {
@@ -179,7 +180,7 @@
 	}
 	breakStmt struct {
 		pos        Pos
-		isContinue bool // continue
+		isContinue bool // it is a continue statement
 	}
 	failStmt struct {
 		pos Pos
@@ -207,6 +208,7 @@
 	typ() Type
 }
 
+// typed is the part common to all expressions: position and type. The checker sets the type.
 type typed struct {
 	pos Pos
 	ty  Type
@@ -223,7 +225,7 @@
 	nameExpr struct {
 		typed
 		name string
-		ref  any // *local, *constDecl, *varDecl, after the check
+		ref  any // *local, *constDecl or *varDecl; set by the checker
 	}
 	fieldExpr struct {
 		typed
@@ -254,7 +256,7 @@
 	}
 	callExpr struct {
 		typed
-		object      string // of a method on declared state
+		object      string // rate, top or counter of a method call, else empty
 		name        string
 		args        []expr
 		fn          *fnDecl
@@ -263,12 +265,12 @@
 	}
 )
 
-// local is a variable of a function or hook.
+// local is a local variable or parameter of a function or hook.
 type local struct {
 	name     string
 	pos      Pos
 	ty       Type
 	used     bool
-	readOnly bool // of a loop: it cannot be assigned
+	readOnly bool // a loop variable, which cannot be assigned
 	reg      int
 }
--- a/script/builtin.go
+++ b/script/builtin.go
@@ -1,21 +1,22 @@
 package script
 
-// builtin is a function or action of the language. Each has a compiled example on the reference page.
+// builtin is a built-in function or action of the language. Its example is on the reference page; a test compiles and runs it.
 type builtin struct {
 	name    string
-	object  string // "rate", "top", "counter" for methods
-	args    []Type // kNone: any type that has a text
+	object  string // "rate", "top" or "counter" for methods, else empty
+	args    []Type // kNone: any type that the operation accepts
 	result  Type
-	hooks   []string // where it can be used; none: everywhere
+	hooks   []string // hooks that can use it; empty: all, and functions
 	op      op
 	doc     string
-	example string // a hook that uses it
+	example string // a program that uses it
 }
 
+// anyList and anyMap are the types of arguments that take a list or map of any element type.
 var anyList = Type{kind: kList}
 var anyMap = Type{kind: kMap}
 
-// builtins are all of them, in the order of the reference page.
+// builtins are all built-ins in the order of the reference page.
 var builtins = []*builtin{
 	{name: "refuse", args: []Type{tyInt}, hooks: []string{"arrival"}, op: opRefuse, doc: "Refuses the call at once with a cause value of Q.850, 1 to 127. The module is not asked.",
 		example: "on arrival {\n\tif call.called matches 8299* {\n\t\trefuse(21)\n\t}\n}"},
@@ -60,7 +61,7 @@
 	{object: "counter", name: "value", result: tyInt, op: opCounterGet, doc: "The counter's value.", example: "counter storms\nevery 5s {\n\tlog(\"storms\", storms.value())\n}"},
 }
 
-// Hook names.
+// Kinds of hooks.
 const (
 	Arrival    = "arrival"
 	Route      = "route"
@@ -70,18 +71,18 @@
 	Every      = "every"
 )
 
-// HookNames are all kinds of hooks.
+// HookNames are all kinds of hooks, every last.
 var HookNames = []string{Arrival, Route, AttemptEnd, Final, ListChange, Every}
 
-// field is one field of an event's object.
+// field is a field of one of an event's objects.
 type field struct {
 	object, name string
 	ty           Type
-	slot         int // in the bank of its type
+	slot         int // index in Event.S for strings, in Event.N for all other types
 	doc          string
 }
 
-// fields are what each hook's event has. Slots are by bank, so that an event is two small arrays.
+// callFields are the fields of all hooks that concern a call.
 var callFields = []field{
 	{"call", "called", tyString, 0, "called number, digits"},
 	{"call", "calling", tyString, 1, "calling number, digits; empty if not given"},
@@ -94,6 +95,7 @@
 	{"call", "age", tyDuration, 4, "since the call came"},
 }
 
+// hookFields are the fields of each hook's event.
 var hookFields = map[string][]field{
 	Arrival: callFields,
 	Route:   callFields,
@@ -122,6 +124,7 @@
 	},
 }
 
+// Sizes of an Event: the highest slot of hookFields in each bank, plus one.
 const (
 	eventInts    = 9
 	eventStrings = 5
--- a/script/check.go
+++ b/script/check.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// Bounds of a program.
+// Limits of a program.
 const (
 	maxVars             = 64
 	maxStates           = 32
 	maxFunctions        = 128
 	maxHooks            = 64
-	maxLocals           = 200 // of a function
-	maxCallDepth        = 16  // of functions that call functions
+	maxLocals           = 200 // of one function or hook
+	maxCallDepth        = 16  // length of a chain of calls
 	defaultSteps        = 5000
 	maxSteps            = 1_000_000
-	defaultMemoryOctets = 32 << 10
+	defaultMemoryOctets = 32 << 10 // @memory of a hook without one
 	maxMemoryOctets     = 1 << 20
 	maxListLen          = 1024
 )
 
-// checker types a program. After a fault it goes on, so that all are told at once.
+// checker checks the types of a program. It continues after an error, so that all errors are reported at once.
 type checker struct {
 	f        *file
 	errs     Errors
@@ -51,7 +51,7 @@
 	c.warnings = append(c.warnings, &Error{c.f.name, p, fmt.Sprintf(format, args...)})
 }
 
-// near finds the known name that somebody may have meant.
+// suggest returns a suffix for an error message with the known name closest to a misspelt one, or nothing.
 func suggest(name string, known []string) string {
 	best, bestDistance := "", 3
 	for _, k := range known {
@@ -65,7 +65,7 @@
 	return fmt.Sprintf("; %s?", best)
 }
 
-// distance is the Levenshtein distance of short words.
+// levenshtein returns the Levenshtein distance of two words of up to 32 octets, and 99 for longer ones.
 func levenshtein(a, b string) int {
 	if len(a) > 32 || len(b) > 32 {
 		return 99
@@ -95,14 +95,14 @@
 	for _, d := range f.decls {
 		c.declare(d)
 	}
-	for _, d := range f.decls { // in the order of the file: a constant can use those before it
+	for _, d := range f.decls { // in source order, as a constant can use earlier ones
 		switch d := d.(type) {
 		case *constDecl:
 			d.ty = c.constant(d.x, "a constant")
 		case *varDecl:
-			d.ty = c.constant(d.x, "the first value of a variable")
+			d.ty = c.constant(d.x, "the initial value of a variable")
 			if d.ty.kind == kList || d.ty.kind == kMap || d.ty.kind == kPattern {
-				c.errorAt(d.pos, "a variable holds an int, float, bool, duration or string, no %v", d.ty)
+				c.errorAt(d.pos, "a variable can hold an int, float, bool, duration or string, not %v", d.ty)
 			}
 		}
 	}
@@ -134,7 +134,7 @@
 		name, c.fns[d.name] = d.name, d
 		for _, b := range builtins {
 			if b.object == "" && b.name == d.name {
-				c.errorAt(d.pos, "%s is a function of the language already", d.name)
+				c.errorAt(d.pos, "%s is already a built-in function", d.name)
 			}
 		}
 	case *hookDecl:
@@ -148,16 +148,16 @@
 	}
 	c.declared[name] = d.at()
 	if len(c.vars) > maxVars || len(c.states) > maxStates || len(c.fns) > maxFunctions || len(c.hooks) > maxHooks {
-		c.errorAt(d.at(), "too many declarations: %d variables, %d rates, tops and counters, %d functions and %d hooks can be", maxVars, maxStates, maxFunctions, maxHooks)
+		c.errorAt(d.at(), "too many declarations; the limits are %d variables, %d rates, tops and counters, %d functions and %d hooks", maxVars, maxStates, maxFunctions, maxHooks)
 	}
 }
 
 func (c *checker) attributes(d *hookDecl) {
 	if !slices.Contains(HookNames, d.hook) {
-		c.errorAt(d.pos, "%q is no hook%s; %s can be", d.hook, suggest(d.hook, HookNames), strings.Join(HookNames[:5], ", "))
+		c.errorAt(d.pos, "%q is no hook%s; the hooks are %s", d.hook, suggest(d.hook, HookNames), strings.Join(HookNames[:5], ", "))
 	}
 	if d.hook == Every && d.every < 1e9 {
-		c.errorAt(d.pos, "every %v; 1s is the least", d.every)
+		c.errorAt(d.pos, "every %v; the minimum is 1s", d.every)
 	}
 	d.steps, d.memory = defaultSteps, defaultMemoryOctets
 	for _, attribute := range d.attrs {
@@ -172,12 +172,12 @@
 		case attribute.name == "memory" && v.kind == tInt && v.i >= 0 && v.i <= maxMemoryOctets:
 			d.memory = int(v.i)
 		default:
-			c.errorAt(attribute.pos, "@%s(%s) cannot be; @failure(default or refuse), @steps(1 to %d) and @memory(0 to %d) can", attribute.name, v.text, maxSteps, maxMemoryOctets)
+			c.errorAt(attribute.pos, "@%s(%s) is not allowed; the attributes are @failure(default or refuse), @steps(1 to %d) and @memory(0 to %d)", attribute.name, v.text, maxSteps, maxMemoryOctets)
 		}
 	}
 }
 
-// constant types an expression of literals and earlier constants.
+// constant checks an expression that may contain literals and earlier constants only, and returns its type.
 func (c *checker) constant(x expr, what string) Type {
 	c.scopes = []map[string]*local{{}}
 	t := c.expr(x)
@@ -234,7 +234,7 @@
 	c.hook, c.scopes = nil, nil
 }
 
-// ends tells whether a block returns or fails on every way through it.
+// alwaysReturns reports whether every path through a block ends in return or fail.
 func alwaysReturns(b *block) bool {
 	for _, s := range b.stmts {
 		switch s := s.(type) {
@@ -274,7 +274,7 @@
 	v := &local{name: name, pos: pos, ty: t}
 	c.scopes[len(c.scopes)-1][name] = v
 	if c.locals++; c.locals > maxLocals {
-		c.errorAt(pos, "more than %d values in one function", maxLocals)
+		c.errorAt(pos, "more than %d local variables in one function", maxLocals)
 	}
 	return v
 }
@@ -314,7 +314,7 @@
 	case *letStmt:
 		t := c.expr(s.x)
 		if t.kind == kNone && !c.hasErrors() {
-			c.errorAt(s.x.at(), "this has no value")
+			c.errorAt(s.x.at(), "this expression has no value")
 		}
 		s.v = c.declareLocal(s.name, s.pos, t)
 	case *assignStmt:
@@ -328,7 +328,7 @@
 	case *forStmt:
 		var t Type
 		if s.to != nil {
-			c.expectType(s.from, tyInt, "the begin of the range")
+			c.expectType(s.from, tyInt, "the start of the range")
 			c.expectType(s.to, tyInt, "the end of the range")
 			t = tyInt
 		} else {
@@ -358,7 +358,7 @@
 		case c.fn != nil && s.x != nil && c.fn.result.kind == kNone:
 			c.errorAt(s.pos, "%s returns nothing", c.fn.name)
 		case s.x != nil:
-			c.expectType(s.x, c.fn.result, "what is returned")
+			c.expectType(s.x, c.fn.result, "the returned value")
 		}
 	case *breakStmt:
 		if c.loopDepth == 0 {
@@ -410,21 +410,21 @@
 	switch t.kind {
 	case kInt, kString, kDuration, kNone, kBool:
 	default:
-		c.errorAt(s.x.at(), "match looks at an int, bool, duration or string, not at %v", t)
+		c.errorAt(s.x.at(), "match needs an int, bool, duration or string, not %v", t)
 	}
 	if len(s.arms) == 0 {
 		c.errorAt(s.pos, "this match has no arms")
 	}
 	for i, a := range s.arms {
 		if len(a.values) == 0 && i < len(s.arms)-1 {
-			c.errorAt(a.pos, "else belongs last")
+			c.errorAt(a.pos, "else must be the last arm")
 		}
 		for j, v := range a.values {
 			got := c.expr(v)
 			if a.rangeEnds[j] != nil {
 				c.expectType(a.rangeEnds[j], t, "the end of the range")
 				if t.kind != kInt && t.kind != kDuration && t.kind != kNone {
-					c.errorAt(v.at(), "a range of %v cannot be", t)
+					c.errorAt(v.at(), "match has no ranges of %v, only of int and duration", t)
 				}
 			}
 			if t.kind == kString && got.kind == kPattern {
@@ -501,7 +501,7 @@
 			c.errorAt(x.pos, "an empty list has no type; begin with one element")
 		}
 		if len(x.elems) > maxListLen {
-			c.errorAt(x.pos, "a list of %d elements; %d can be", len(x.elems), maxListLen)
+			c.errorAt(x.pos, "a list of %d elements; the limit is %d", len(x.elems), maxListLen)
 		}
 		x.ty = listOf(e)
 	case *mapExpr:
@@ -558,7 +558,7 @@
 
 func (c *checker) field(x *fieldExpr) Type {
 	if c.hook == nil {
-		c.errorAt(x.pos, "%s.%s can only be read in a hook; hand it to the function", x.object, x.name)
+		c.errorAt(x.pos, "%s.%s can only be read in a hook; pass it to the function as an argument", x.object, x.name)
 		return tyNone
 	}
 	var names, objects []string
@@ -573,7 +573,7 @@
 		}
 	}
 	if len(names) == 0 {
-		c.errorAt(x.pos, "%s is nothing that %s has%s", x.object, c.hook.hook, suggest(x.object, objects))
+		c.errorAt(x.pos, "%s is not available in %s hooks%s", x.object, c.hook.hook, suggest(x.object, objects))
 	} else {
 		c.errorAt(x.pos, "%s has no %s%s", x.object, x.name, suggest(x.name, names))
 	}
@@ -638,9 +638,9 @@
 	}
 	hint := ""
 	if a.kind == kInt && b.kind == kFloat || a.kind == kFloat && b.kind == kInt {
-		hint = "; float() makes the int one"
+		hint = "; float() converts the int"
 	}
-	c.errorAt(x.pos, "%v %s %v cannot be%s", a, x.op, b, hint)
+	c.errorAt(x.pos, "%v %s %v is not allowed%s", a, x.op, b, hint)
 	return tyNone
 }
 
@@ -703,7 +703,7 @@
 			known = append(known, b.name)
 		}
 	}
-	c.errorAt(x.pos, "a %s has no %s; %s can be", d.keyword, x.name, strings.Join(known, ", "))
+	c.errorAt(x.pos, "a %s has no %s; its methods are %s", d.keyword, x.name, strings.Join(known, ", "))
 	return tyNone
 }
 
@@ -752,17 +752,18 @@
 	case opTreatAs, opRefuse:
 		if l, ok := x.args[0].(*litExpr); ok {
 			if b.op == opTreatAs && !ValidTreatAs(l.tok.i) || b.op == opRefuse && (l.tok.i < 1 || l.tok.i > 127) {
-				c.errorAt(l.pos, "%s(%d) cannot be", b.name, l.tok.i)
+				c.errorAt(l.pos, "%s(%d) is not allowed", b.name, l.tok.i)
 			}
 		}
 	}
 	return b.result
 }
 
-// ValidTreatAs tells whether an attempt's cause may be read as this one: busy, no circuit, temporary failure, congestion.
+// ValidTreatAs reports whether a cause value is allowed in treat_as: user busy (17), no circuit available (34), temporary failure
+// (41) and switching equipment congestion (42).
 func ValidTreatAs(cause int64) bool { return cause == 17 || cause == 34 || cause == 41 || cause == 42 }
 
-// recursion finds functions that call themselves, and chains that are too long.
+// checkRecursion reports functions that call themselves, directly or not, and chains of calls longer than maxCallDepth.
 func (c *checker) checkRecursion() {
 	depth := map[*fnDecl]int{}
 	const visiting = -1
@@ -770,7 +771,7 @@
 	walk = func(d *fnDecl) int {
 		if known, seen := depth[d]; seen {
 			if known == visiting {
-				c.errorAt(d.pos, "%s calls itself, straight or by others; that cannot be", d.name)
+				c.errorAt(d.pos, "%s calls itself, directly or through other functions; recursion is not allowed", d.name)
 				return 0
 			}
 			return known
@@ -782,7 +783,7 @@
 		}
 		depth[d] = deepest + 1
 		if depth[d] == maxCallDepth+1 {
-			c.errorAt(d.pos, "functions call functions deeper than %d", maxCallDepth)
+			c.errorAt(d.pos, "a chain of more than %d function calls", maxCallDepth)
 		}
 		return depth[d]
 	}
@@ -793,6 +794,7 @@
 	}
 }
 
+// sortedCalls returns the called functions in source order.
 func sortedCalls(m map[*fnDecl]Pos) []*fnDecl {
 	return slices.SortedFunc(maps.Keys(m), func(a, b *fnDecl) int { return a.index - b.index })
 }
--- a/script/compare/compare_test.go
+++ b/script/compare/compare_test.go
@@ -1,5 +1,3 @@
-// Package compare measures a hook call of the project's language beside Starlark, Expr, CEL and Lua, on the same four hooks.
-// It is a module of its own, so that the program does not depend on them: cd script/compare && go test -bench .
 package compare
 
 import (
@@ -18,8 +16,7 @@
 	"github.com/umbergauge/umbergauge/script"
 )
 
-// The hooks: the class of a call by its prefix; a refusal by a list of numbers; a word made of fields; a sum over a list.
-// Each gives a string: what it set, refused or tagged.
+// blocked are the called numbers that the hook "refuse" refuses.
 var blocked = func() []string {
 	var s []string
 	for i := range 20 {
@@ -28,6 +25,7 @@
 	return s
 }()
 
+// The call that the hooks run on.
 var (
 	called   = "820100703"
 	category = 10
@@ -35,9 +33,12 @@
 	to       = 104
 )
 
+// quoted returns the blocked numbers as the elements of a list literal.
 func quoted() string { return `"` + strings.Join(blocked, `", "`) + `"` }
 
-var hooks = []struct{ name, ours, star, expr, cel, lua string }{
+// hooks are the same four programs in each language: the class of a call by its prefix, a refusal by a list of numbers, a tag made of
+// fields, and a sum over a list. The result of each is a string: the class, the cause or the tag.
+var hooks = []struct{ name, umbergauge, starlarkSource, expr, cel, lua string }{
 	{"class",
 		"on arrival {\n\tmatch call.called {\n\t\t8201*, 8203* -> set_class(\"storm-tile\")\n\t\t82?9* -> set_class(\"map-tile\")\n\t\telse -> set_class(\"other\")\n\t}\n}\n",
 		"def hook(called, category, attempts, to):\n  if called.startswith('8201') or called.startswith('8203'):\n    return 'storm-tile'\n  if called.startswith('82') and called[3] == '9':\n    return 'map-tile'\n  return 'other'\n",
@@ -64,17 +65,19 @@
 		"local weights = {3, 1, 4, 1, 5, 9, 2, 6, 5, 3}\nfunction hook(called, category, attempts, to)\n  local sum = 0\n  for i = 1, #weights do sum = sum + weights[i] * attempts end\n  if sum > 50 then return 'heavy' end\n  return ''\nend\n"},
 }
 
-func want(t testing.TB, name, got string) {
+// checkResult fails the benchmark if a hook's result is not the expected one.
+func checkResult(t testing.TB, name, got string) {
 	t.Helper()
 	if w := map[string]string{"class": "storm-tile", "refuse": "", "tag": "to 104 try 2", "sum": "heavy"}[name]; got != w {
 		t.Fatalf("%s gives %q, want %q", name, got, w)
 	}
 }
 
+// BenchmarkHook measures one run of each hook in each language.
 func BenchmarkHook(b *testing.B) {
 	for _, h := range hooks {
 		b.Run(h.name+"/umbergauge", func(b *testing.B) {
-			p, err := script.Compile(h.name, h.ours)
+			p, err := script.Compile(h.name, h.umbergauge)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -93,10 +96,10 @@
 			if len(res.Tags) > 0 {
 				got = res.Tags[0]
 			}
-			want(b, h.name, got)
+			checkResult(b, h.name, got)
 		})
 		b.Run(h.name+"/starlark", func(b *testing.B) {
-			g, err := starlark.ExecFileOptions(&syntax.FileOptions{}, &starlark.Thread{}, "hook", h.star, nil)
+			g, err := starlark.ExecFileOptions(&syntax.FileOptions{}, &starlark.Thread{}, "hook", h.starlarkSource, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -111,7 +114,7 @@
 					b.Fatal(err)
 				}
 			}
-			want(b, h.name, string(v.(starlark.String)))
+			checkResult(b, h.name, string(v.(starlark.String)))
 		})
 		b.Run(h.name+"/expr", func(b *testing.B) {
 			type env struct {
@@ -132,7 +135,7 @@
 					b.Fatal(err)
 				}
 			}
-			want(b, h.name, v.(string))
+			checkResult(b, h.name, v.(string))
 		})
 		if h.cel != "" {
 			b.Run(h.name+"/cel", func(b *testing.B) {
@@ -157,7 +160,7 @@
 					}
 					got = v.Value().(string)
 				}
-				want(b, h.name, got)
+				checkResult(b, h.name, got)
 			})
 		}
 		b.Run(h.name+"/lua", func(b *testing.B) {
@@ -176,7 +179,7 @@
 				got = l.Get(-1).String()
 				l.Pop(1)
 			}
-			want(b, h.name, got)
+			checkResult(b, h.name, got)
 		})
 	}
 }
--- a/script/compile.go
+++ b/script/compile.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// op is an instruction's operation. a, b and c are registers unless said otherwise; N and R name the two banks: numbers
-// (ints, floats, bools, durations as 64 bits) and references (strings, lists, maps).
+// op is the operation code of an instruction. Its operands a, b and c are registers unless noted otherwise; a is the result
+// unless noted otherwise. There are two banks of registers: N for numbers (ints, floats, bools and durations as 64 bits) and R for
+// references (strings, lists and maps). The suffixes I, F and S stand for int, float and string.
 type op uint16
 
 const (
@@ -16,7 +17,7 @@
 	opMoveR
 	opConstN  // a = number constant b
 	opConstR  // a = string constant b
-	opGlobalN // a = declared constant or variable b
+	opGlobalN // a = declared constant b
 	opGlobalR
 	opVarN // a = variable b
 	opVarR
@@ -53,8 +54,8 @@
 	opInR
 	opInMap
 
-	opJump // to a
-	opJumpFalse
+	opJump      // to a
+	opJumpFalse // to b if a is false
 	opJumpTrue
 	opJumpNotLtI // to c unless a < b
 	opJumpNotLeI
@@ -64,9 +65,9 @@
 	opJumpEqS
 	opJumpNotMatch // to c unless string R a matches pattern b
 
-	opListN // R a = list of c numbers from N b on
+	opListN // R a = list of the c numbers from N b on
 	opListR
-	opNewMap // R a = map; keys from R c on in pairs is made by opMapSet
+	opNewMap // R a = empty map, of references if b is 1; opMapSetN and opMapSetR add the keys
 	opIndexN
 	opIndexR
 	opSetIndexN // list R a at N b = N c
@@ -77,11 +78,11 @@
 	opMapSetR
 	opLenS
 	opLenObject
-	opNextN // loop over a list: N a the place, R b the list, N c the element; skips the next jump while there is one
+	opNextN // loop over a list: N a index, R b list, c element; skips the next instruction, a jump, while an element is left
 	opNextR
-	opLoop // to c while N a < N b, counting a up first
+	opLoop // increments N a, then jumps to c if N a < N b
 
-	opCall // function a, its windows begin at N b and R c
+	opCall // function a, whose register windows begin at N b and R c
 	opReturn
 	opFail
 
@@ -95,10 +96,10 @@
 	opMinI
 	opMaxI
 	opSubstr
-	opAppend // picks N or R by c
+	opAppend // to list R a the element b, of bank R if c is 1
 	opKeys
 
-	// Actions and state; a is the first argument's register.
+	// Actions; a is the argument.
 	opRefuse
 	opSetClass
 	opSetTenant
@@ -106,45 +107,47 @@
 	opExclude
 	opTreatAs
 	opTag
-	opLog // key R a, text R b
-	opRateAdd
-	opRateGet
-	opTopAdd
-	opTopCount
-	opTopMost
-	opCounterAdd
-	opCounterGet
-	// Names of the table of builtins that become others by type.
+	opLog // key R a, value R b
+	// Declared state, by its slot.
+	opRateAdd    // rate a, key R b
+	opRateGet    // a = rate c of key R b
+	opTopAdd     // top a, key R b
+	opTopCount   // a = count of key R b in top c
+	opTopMost    // a = list of the N b first keys of top c
+	opCounterAdd // counter a, number N b
+	opCounterGet // a = counter b
+	// Used in the table of built-ins only; compiled to other operations by the argument's type.
 	opLen
 	opText
 )
 
+// instruction is one operation with its operands.
 type instruction struct {
 	op      op
 	a, b, c uint16
 }
 
-// function is compiled code.
+// function is the compiled code of a function or hook.
 type function struct {
 	name         string
 	code         []instruction
-	lines        []uint16
-	regsN, regsR int // registers
+	lines        []uint16 // source line of each instruction
+	regsN, regsR int      // registers of each bank
 }
 
 // Hook is one compiled hook of a program.
 type Hook struct {
 	Kind            string
-	Every           time.Duration // of every
-	RefuseOnFailure bool          // the call is refused when the hook fails
+	Every           time.Duration // interval of an every hook
+	RefuseOnFailure bool          // @failure(refuse): a failure of the hook refuses the call
 	Steps           int
 	Memory          int
 	Line            int
-	Cost            int // steps in the worst case by the compiler's count; -1: not bounded by its own text, only by Steps
+	Cost            int // worst-case steps, estimated by the compiler; -1: depends on values, limited by Steps only
 	fn              int
 }
 
-// Program is a compiled, checked set of declarations and hooks. It does not change.
+// Program is a checked and compiled source file. It is immutable.
 type Program struct {
 	Name     string
 	Hooks    []Hook
@@ -152,19 +155,19 @@
 	constN   []int64
 	constS   []string
 	patterns []string
-	globalN  []int64 // declared constants
+	globalN  []int64 // declared constants; each has an entry in both banks
 	globalR  []ref
-	varN     []int64 // first values of variables
+	varN     []int64 // initial values of variables; each has an entry in both banks
 	varR     []string
-	varIsRef []bool
+	varIsRef []bool // the value is in varR
 	varNames []string
 	states   []*stateDecl
-	stackN   int
+	stackN   int // registers needed by the deepest chain of calls
 	stackR   int
 	Warnings Errors
 }
 
-// Compile checks and compiles a program. The error is Errors.
+// Compile checks and compiles a program. The error has type Errors.
 func Compile(name, src string) (*Program, error) {
 	f, errs := parse(name, src)
 	if len(errs) > 0 {
@@ -182,6 +185,7 @@
 	return g.p, nil
 }
 
+// generator compiles a checked file into a program. usedN and usedR are the registers in use at this point of the function.
 type generator struct {
 	p       *Program
 	checked *checker
@@ -194,6 +198,7 @@
 	err     *Error
 }
 
+// loopJumps are the jumps of a loop's break and continue statements, whose targets are patched later.
 type loopJumps struct{ breaks, continues []int }
 
 func (g *generator) errorAt(p Pos, format string, args ...any) {
@@ -203,7 +208,7 @@
 }
 
 func (g *generator) compileProgram(f *file) error {
-	// Constants and first values are computed once, by code like any other.
+	// Constants and initial values are evaluated once, by running their compiled code.
 	init := &function{name: "constants"}
 	g.fn = init
 	for _, d := range f.decls {
@@ -265,7 +270,7 @@
 	return nil
 }
 
-// stacks computes how many registers the deepest chain of calls needs; there is no recursion.
+// computeStackSizes computes how many registers the deepest chain of calls needs. The checker has excluded recursion.
 func (g *generator) computeStackSizes(order []*fnDecl) {
 	type size struct{ n, r int }
 	known := map[*fnDecl]size{}
@@ -293,7 +298,7 @@
 	g.usedN, g.usedR, g.loops = 0, 0, nil
 }
 
-// evaluate runs the code so far and takes the value of a register.
+// evaluateConstant runs the code generated so far, returns the value of a register and begins new code.
 func (g *generator) evaluateConstant(pos Pos, reg int, t Type) (v struct {
 	n int64
 	r ref
@@ -332,7 +337,7 @@
 
 func (g *generator) nextPC() int { return len(g.fn.code) }
 
-// land lets the jump at an instruction lead here.
+// patchJump sets the target of a jump instruction to the next instruction.
 func (g *generator) patchJump(jump int) {
 	if jump >= len(g.fn.code) {
 		return
@@ -393,7 +398,7 @@
 		g.line = s.at().Line
 		savedN, savedR := g.usedN, g.usedR
 		g.stmt(s)
-		if _, let := s.(*letStmt); !let { // temporaries end with their statement
+		if _, let := s.(*letStmt); !let { // release the statement's temporary registers
 			g.usedN, g.usedR = savedN, savedR
 		}
 	}
@@ -486,7 +491,7 @@
 	jumps := &loopJumps{}
 	g.loops = append(g.loops, jumps)
 	defer func() { g.loops = g.loops[:len(g.loops)-1] }()
-	if s.to != nil { // i in a..b: a first, b not
+	if s.to != nil { // i in a..b: from a, up to but without b
 		i, end := g.newN(), g.newN()
 		g.exprInto(s.from, i)
 		g.exprInto(s.to, end)
@@ -534,7 +539,7 @@
 		for j, v := range a.values {
 			last := j == len(a.values)-1
 			switch {
-			case a.rangeEnds[j] != nil: // both ends belong to it
+			case a.rangeEnds[j] != nil: // both ends are included
 				low := g.emit(opJumpNotLeI, g.value(v), x, 0)
 				high := g.emit(opJumpNotLeI, x, g.value(a.rangeEnds[j]), 0)
 				if last {
@@ -574,7 +579,7 @@
 	g.patchJumps(endJumps)
 }
 
-// pattern is the place of a pattern, which is always a literal or a constant.
+// pattern returns the index of a pattern, which must be a literal or a constant.
 func (g *generator) pattern(x expr) int {
 	s := ""
 	switch x := x.(type) {
@@ -597,7 +602,7 @@
 	return i
 }
 
-// unless compiles a condition and returns the jumps that are taken if it does not hold.
+// jumpsIfFalse compiles a condition and returns the jumps that are taken if it is false.
 func (g *generator) jumpsIfFalse(x expr) []int {
 	switch x := x.(type) {
 	case *unaryExpr:
@@ -643,7 +648,7 @@
 	return []int{g.emit(opJumpFalse, g.value(x), 0, 0)}
 }
 
-// constRoot tells that a value is part of a declared constant, which no call may change for the next.
+// inConstant reports whether a value is part of a declared constant, which programs must not modify.
 func inConstant(x expr) bool {
 	switch x := x.(type) {
 	case *nameExpr:
@@ -655,7 +660,7 @@
 	return false
 }
 
-// value compiles an expression and returns the register that has it.
+// value compiles an expression and returns the register of its value.
 func (g *generator) value(x expr) int {
 	if n, ok := x.(*nameExpr); ok {
 		if v, ok := n.ref.(*local); ok {
@@ -667,7 +672,7 @@
 	return reg
 }
 
-// raw is value for what is only looked at, or changed where it is: constants are not copied.
+// sharedValue is value without the copy of a constant list or map, for operands that are only read or are modified in place.
 func (g *generator) sharedValue(x expr) int {
 	if !inConstant(x) {
 		return g.value(x)
@@ -677,7 +682,7 @@
 	return reg
 }
 
-// into compiles an expression into a register.
+// exprInto compiles an expression into a register. A list or map of a constant is copied.
 func (g *generator) exprInto(x expr, to int) {
 	g.sharedExprInto(x, to)
 	if k := x.typ().kind; (k == kList || k == kMap) && inConstant(x) {
@@ -685,6 +690,7 @@
 	}
 }
 
+// byBank returns n or r by the bank of the value.
 func byBank(isRef bool, n, r op) op {
 	if isRef {
 		return r
@@ -692,6 +698,7 @@
 	return n
 }
 
+// sharedExprInto is exprInto without the copy.
 func (g *generator) sharedExprInto(x expr, to int) {
 	switch x := x.(type) {
 	case *litExpr:
@@ -779,7 +786,7 @@
 	k := x.x.typ().kind
 	switch x.op {
 	case "and", "or":
-		result := g.newN() // not the target: the right side may still read that
+		result := g.newN() // not into the target register, which the right side may still read
 		g.exprInto(x.x, result)
 		o := opJumpFalse
 		if x.op == "or" {
@@ -840,7 +847,7 @@
 	}
 }
 
-// text compiles a value of any kind into a string.
+// text compiles a value of any type that has a text into a string.
 func (g *generator) text(x expr, to int) {
 	o := opIntToText
 	switch x.typ().kind {
@@ -873,7 +880,7 @@
 				nextN++
 			}
 		}
-		// The result comes back in the first register of its bank.
+		// The function returns its result in the first register of its window.
 		g.fn.regsN, g.fn.regsR = max(g.fn.regsN, firstN+1), max(g.fn.regsR, firstR+1)
 		g.emit(opCall, x.fn.index, firstN, firstR)
 		if x.ty.kind != kNone {
@@ -929,7 +936,7 @@
 		g.emit(b.op, to, g.value(x.args[0]), slot)
 	case opCounterGet:
 		g.emit(b.op, to, slot, 0)
-	default: // actions of one argument
+	default: // actions with one argument
 		g.emit(b.op, g.value(x.args[0]), 0, 0)
 	}
 }
--- a/script/event.go
+++ b/script/event.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Call is what hooks see of a call.
+// Call holds the properties of a call that hooks can read.
 type Call struct {
 	Called, Calling, Class, Tenant string
 	Category                       int
@@ -15,7 +15,7 @@
 	Age                            time.Duration
 }
 
-// CallEvent is the event of an arrival or a route hook.
+// CallEvent returns the event of an arrival or route hook.
 func CallEvent(c Call) Event {
 	var e Event
 	e.S[0], e.S[1], e.S[2], e.S[3] = c.Called, c.Calling, c.Class, c.Tenant
@@ -23,14 +23,14 @@
 	return e
 }
 
-// AttemptEndEvent is the event of an attempt_end hook.
+// AttemptEndEvent returns the event of an attempt_end hook.
 func AttemptEndEvent(c Call, cause, exchange int, direct bool, after time.Duration) Event {
 	e := CallEvent(c)
 	e.N[5], e.N[6], e.N[7], e.N[8] = int64(cause), int64(exchange), boolToInt(direct), int64(after)
 	return e
 }
 
-// FinalEvent is the event of a final hook.
+// FinalEvent returns the event of a final hook.
 func FinalEvent(c Call, outcome string, cause, via int, after time.Duration) Event {
 	e := CallEvent(c)
 	e.S[4] = outcome
@@ -38,21 +38,22 @@
 	return e
 }
 
-// ListEvent is the event of a list_change hook.
+// ListEvent returns the event of a list_change hook.
 func ListEvent(code int, state string, cold bool) Event {
 	var e Event
 	e.N[0], e.N[1], e.S[0] = int64(code), boolToInt(cold), state
 	return e
 }
 
-// EveryEvent is the event of an every hook.
+// EveryEvent returns the event of an every hook.
 func EveryEvent(waiting, open int, offered, established, refused, timedOut uint64) Event {
 	var e Event
 	e.N[0], e.N[1], e.N[2], e.N[3], e.N[4], e.N[5] = int64(waiting), int64(open), int64(offered), int64(established), int64(refused), int64(timedOut)
 	return e
 }
 
-// ParseEvent makes an event of a hook from named fields, such as call.called: "820112345", as examples give them.
+// ParseEvent returns an event of a hook with the given fields, such as call.called: "820112345" in an example. Durations are strings
+// such as "1.5s".
 func ParseEvent(hook string, fields map[string]any) (Event, error) {
 	var e Event
 	known, ok := hookFields[hook]
--- a/script/format.go
+++ b/script/format.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Format lays a program out in the one way: a tab for each open bracket, one space where the language has one, no more than
-// one empty line. Comments stay where they are. The error is Errors.
+// Format returns a program in its standard layout: one tab for each open bracket, at most one space between tokens and at most one
+// empty line. Line breaks and comments stay in place. The error has type Errors.
 func Format(name, src string) (string, error) {
 	if _, errs := parse(name, src); len(errs) > 0 {
 		return "", errs
@@ -12,7 +12,7 @@
 	var b strings.Builder
 	var line []token
 	depth, empty := 0, 0
-	var openBlocks []bool // brackets that are open; true: a block's brace
+	var openBlocks []bool // one for each open bracket; true: the brace of a block
 	for _, t := range toks {
 		if t.kind != tNewline && t.kind != tEOF {
 			line = append(line, t)
@@ -61,7 +61,7 @@
 	return t.kind == tPunct && (t.text == "}" || t.text == ")" || t.text == "]")
 }
 
-// mapBrace tells that a brace begins a map and not a block: it stands where a value does.
+// beginsMap reports whether a brace begins a map and not a block: it follows a token after which a value is expected.
 func beginsMap(line []token, i int) bool {
 	if i == 0 {
 		return false
@@ -73,7 +73,7 @@
 	return p.kind == tPunct && p.text != ")" && p.text != "]" && p.text != "->" && p.text != "}"
 }
 
-// spaced tells whether a space stands before the token at i of a line. open are the brackets open there.
+// spaceBefore reports whether a space belongs before token i of a line. openBlocks are the brackets open at that token.
 func spaceBefore(line []token, i int, openBlocks []bool) bool {
 	a, b := line[i-1], line[i]
 	if b.kind == tComment {
@@ -90,7 +90,7 @@
 	case punct(a, " - ") && isUnaryMinus(line, i-1):
 		return false
 	case punct(b, " ( "):
-		// A call or a declaration has its bracket right behind its name; a group stands apart.
+		// No space between the name of a call or declaration and its bracket; a space before a grouping bracket.
 		return !(a.kind == tName && (!keywords[a.text] || a.text == "rate" || a.text == "top")) && !punct(a, " ] ")
 	case punct(b, " [ "):
 		return !(a.kind == tName && !keywords[a.text] || punct(a, " ] ) "))
@@ -102,7 +102,7 @@
 	return true
 }
 
-// unaryAt tells that the minus at i has no left side.
+// isUnaryMinus reports whether the minus at i has no left operand.
 func isUnaryMinus(line []token, i int) bool {
 	if i == 0 {
 		return true
--- a/script/lint.go
+++ b/script/lint.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// manyTimes is how often a loop over a list of unknown length is counted for Cost.
+// assumedListLen is the length that cost estimates assume for a list of unknown length: the maximum.
 const assumedListLen = maxListLen
 
-// costs computes what each hook costs at the worst by its text: loops by their literal bounds or the longest list.
+// computeCosts estimates the worst-case steps of each hook from its source: loops by their literal bounds or list lengths.
 func (g *generator) computeCosts(order []*fnDecl) {
 	known := map[*fnDecl]int{}
 	var fn func(d *fnDecl) int
@@ -27,9 +27,10 @@
 	_ = order
 }
 
+// unbounded is the cost of code whose steps depend on values at run time.
 const unbounded = -1
 
-// add adds costs; unbounded stays so.
+// addCost adds two costs; the sum is unbounded if one of them is.
 func addCost(a, b int) int {
 	if a == unbounded || b == unbounded || a+b > 1<<40 {
 		return unbounded
@@ -37,6 +38,7 @@
 	return a + b
 }
 
+// multiplyCost returns the cost of n runs; it is unbounded if the cost or n is.
 func multiplyCost(a, n int) int {
 	if a == unbounded || n == unbounded || n > 0 && a > 1<<40/n {
 		return unbounded
@@ -44,6 +46,7 @@
 	return a * n
 }
 
+// blockCost estimates the steps of a block; fn gives those of a declared function.
 func blockCost(b *block, fn func(*fnDecl) int) int {
 	sum := 1
 	for _, s := range b.stmts {
@@ -106,6 +109,7 @@
 	return sum
 }
 
+// literalInt returns the value of an int literal or of a constant that is one.
 func literalInt(x expr) (int64, bool) {
 	switch x := x.(type) {
 	case *litExpr:
@@ -118,6 +122,7 @@
 	return 0, false
 }
 
+// exprCost estimates the steps of an expression.
 func exprCost(x expr, fn func(*fnDecl) int) int {
 	sum := 1
 	switch x := x.(type) {
@@ -151,7 +156,7 @@
 	return sum
 }
 
-// lint finds what is allowed and most likely wrong: declared and never used, and hooks that may need more than their steps.
+// lint returns warnings: unused declarations, and hooks that may exceed their step budget.
 func (g *generator) lint(f *file) Errors {
 	var out Errors
 	warn := func(p Pos, format string, args ...any) {
--- a/script/parse.go
+++ b/script/parse.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxNesting bounds how deep blocks and expressions may nest, in the parser and in all that walks the tree after it.
+// maxNesting limits the nesting of blocks and expressions, and so the recursion of the parser and of all later passes.
 const maxNesting = 64
 
 type parser struct {
@@ -17,7 +17,7 @@
 	file  *file
 }
 
-// bail ends the parsing of one declaration.
+// abortDecl is the panic value that ends the parsing of a declaration after an error.
 type abortDecl struct{}
 
 func parse(name, src string) (*file, Errors) {
@@ -39,7 +39,7 @@
 	return p.file, p.errs
 }
 
-// guarded parses one declaration; after a fault it goes on with the next line that can begin one.
+// withRecovery parses one declaration; after an error it skips to the next line that can begin one.
 func (p *parser) withRecovery(f func()) {
 	defer func() {
 		switch r := recover().(type) {
@@ -75,7 +75,7 @@
 	panic(abortDecl{})
 }
 
-// skip passes over empty lines.
+// skipNewlines skips line ends.
 func (p *parser) skipNewlines() {
 	for p.peek().kind == tNewline {
 		p.index++
@@ -106,7 +106,7 @@
 	t := p.next()
 	if t.kind != tName || keywords[t.text] {
 		if t.kind == tName {
-			p.errorAt(t.pos, "%q is a word of the language and cannot be the name of %s", t.text, what)
+			p.errorAt(t.pos, "%q is a keyword and cannot be the name of %s", t.text, what)
 		}
 		p.errorAt(t.pos, "%s instead of the name of %s", t, what)
 	}
@@ -131,7 +131,7 @@
 	}
 	t := p.next()
 	if len(attrs) > 0 && t.text != "on" && t.text != "every" {
-		p.errorAt(attrs[0].pos, "an attribute belongs before a hook")
+		p.errorAt(attrs[0].pos, "an attribute must be followed by a hook")
 	}
 	switch t.text {
 	case "const":
@@ -142,7 +142,7 @@
 		return d
 	case "var":
 		n := p.ident("a variable")
-		p.expect("=", "after the name; a variable has a first value")
+		p.expect("=", "after the name; a variable needs an initial value")
 		d := &varDecl{pos: n.pos, name: n.text, x: p.expr()}
 		p.endLine("a variable")
 		return d
@@ -160,7 +160,7 @@
 		}
 		return &hookDecl{pos: t.pos, attrs: attrs, hook: "every", every: time.Duration(n.i), body: p.block()}
 	}
-	p.errorAt(t.pos, "%s begins no declaration; const, var, rate, top, counter, fn, on and every do", t)
+	p.errorAt(t.pos, "%s begins no declaration; those begin with const, var, rate, top, counter, fn, on or every", t)
 	return nil
 }
 
@@ -175,16 +175,16 @@
 			switch {
 			case o.text == "keys" && v.kind == tInt:
 				if v.i < 1 || v.i > 1<<16 {
-					p.errorAt(v.pos, "%d keys; 1 to %d can be", v.i, 1<<16)
+					p.errorAt(v.pos, "%d keys; must be 1 to %d", v.i, 1<<16)
 				}
 				d.keys = int(v.i)
 			case o.text == "window" && v.kind == tDuration && t.text == "rate":
 				if v.i < int64(time.Second) || v.i > int64(time.Hour) {
-					p.errorAt(v.pos, "a window of %v; 1s to 1h can be", time.Duration(v.i))
+					p.errorAt(v.pos, "a window of %v; must be 1s to 1h", time.Duration(v.i))
 				}
 				d.window = time.Duration(v.i)
 			default:
-				p.errorAt(o.pos, "%s is nothing that a %s can have; keys N%s can be", o, t.text, map[bool]string{true: " and window DURATION"}[t.text == "rate"])
+				p.errorAt(o.pos, "%s is no parameter of a %s; the parameters are keys N%s", o, t.text, map[bool]string{true: " and window DURATION"}[t.text == "rate"])
 			}
 			if !p.accept(",") {
 				break
@@ -222,7 +222,7 @@
 		}
 		return mapOf(e)
 	}
-	p.errorAt(t.pos, "%s is no type; int, float, bool, duration, string, pattern, list[T] and map[T] are", t)
+	p.errorAt(t.pos, "%s is no type; the types are int, float, bool, duration, string, pattern, list[T] and map[T]", t)
 	return tyNone
 }
 
@@ -377,7 +377,7 @@
 	return s
 }
 
-// levels are the binary operators, the loosest first.
+// precedence lists the binary operators by level, the loosest binding first.
 var precedence = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in", "matches"}, {"+", "-"}, {"*", "/", "%"}}
 
 func (p *parser) expr() expr { return p.binary(0) }
@@ -390,7 +390,7 @@
 		p.enter(p.peek().pos)
 		defer p.leave()
 	}
-	if t := p.peek(); level == 2 && p.accept("not") { // looser than comparisons: not a == b
+	if t := p.peek(); level == 2 && p.accept("not") { // binds more loosely than comparisons: not a == b is not (a == b)
 		p.enter(t.pos)
 		defer p.leave()
 		return &unaryExpr{typed: typed{pos: t.pos}, op: "not", x: p.binary(2)}
@@ -410,7 +410,7 @@
 			p.errorAt(p.peek().pos, "more than %d operators in a row", maxNesting)
 		}
 		t := p.next()
-		p.skipNewlines() // a line may end after an operator
+		p.skipNewlines() // a line can end after an operator
 		x = &binaryExpr{typed: typed{pos: t.pos}, op: op, x: x, y: p.binary(level + 1)}
 	}
 }
@@ -456,7 +456,7 @@
 		if t.text == "true" || t.text == "false" {
 			return &litExpr{typed{pos: t.pos}, t}
 		}
-		// A type's name is its conversion too; rate, top and counter are only words at the beginning of a line.
+		// The names of types are no keywords: int(x) and float(x) are calls of conversions.
 		if keywords[t.text] {
 			p.errorAt(t.pos, "%s is no value", t)
 		}
--- a/script/reference.go
+++ b/script/reference.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Reference is the page of all fields and built-ins, in Markdown, with an example of each that the tests compile and run.
+// Reference returns the reference page in Markdown: all fields, and all built-ins with an example that the tests compile and run.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("# Reference of the hooks' language\n\nMade by `umbergauge script reference`; every example is compiled and run by the tests.\n\n## Fields\n\n| hook | field | type | is |\n| --- | --- | --- | --- |\n")
--- a/script/script_test.go
+++ b/script/script_test.go
@@ -14,9 +14,10 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases at every run; other seeds by hand: go test -args -rapid.seed=N -rapid.checks=N.
+// init fixes the seed, so that every run draws the same cases. For others: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
+// mustCompile compiles a program that has no errors.
 func mustCompile(t testing.TB, src string) *Program {
 	t.Helper()
 	p, err := Compile("t.ug", src)
@@ -26,9 +27,11 @@
 	return p
 }
 
+// callEvent is an event that every hook can run on: a call, and the fields of attempt_end and final.
 var callEvent = Event{N: [eventInts]int64{10, 0, 102, 1, int64(20 * time.Millisecond), 47, 103, 1, int64(time.Second)},
 	S: [eventStrings]string{"820112345", "9012000", "map-tile", "city", "stands"}}
 
+// runOnCallEvent compiles a program and runs its first hook on callEvent.
 func runOnCallEvent(t testing.TB, src string) (Result, error) {
 	t.Helper()
 	p := mustCompile(t, src)
@@ -37,7 +40,7 @@
 	return res, err
 }
 
-// Each body's value, logged as text, is what is wanted.
+// Guards against wrong code for an operator, conversion, index or short-circuit: each expression is logged as text and compared.
 func TestExpressionValues(t *testing.T) {
 	for x, want := range map[string]string{
 		"1 + 2 * 3 - 4 / 2 % 3":                    "5",
@@ -78,6 +81,8 @@
 	}
 }
 
+// Guards against wrong code for statements and function calls, and against a constant list that a program can modify: changes to
+// the copies c, d and e must not show in codes and nested.
 func TestStatementsAndFunctions(t *testing.T) {
 	res, err := runOnCallEvent(t, `
 const weights = {"a": 1, "b": 2}
@@ -154,18 +159,18 @@
 	}
 }
 
-// Faults are told with their place and, where somebody may have meant another word, with that.
+// Guards against wrong programs that compile, and errors without position or without the suggestion for a misspelt name.
 func TestCompileErrorsGivePositionAndSuggestion(t *testing.T) {
 	for src, want := range map[string]string{
 		"on arival {\n}":                                                   `t.ug:1:1: "arival" is no hook; arrival?`,
 		"on arrival {\n\trefus(1)\n}":                                      "t.ug:2:2: there is no function refus; refuse?",
 		"on arrival {\n\ttag(call.caled)\n}":                               "t.ug:2:6: call has no caled; called?",
-		"on arrival {\n\tlet x = 1 + 2.0\n}":                               "t.ug:2:12: int + float cannot be; float() makes the int one",
-		"on arrival {\n\tlet x = 1 + \"a\"\n}":                             "int + string cannot be",
+		"on arrival {\n\tlet x = 1 + 2.0\n}":                               "t.ug:2:12: int + float is not allowed; float() converts the int",
+		"on arrival {\n\tlet x = 1 + \"a\"\n}":                             "int + string is not allowed",
 		"on arrival {\n\tif 1 {\n\t}\n}":                                   "t.ug:2:5: the condition is int, not bool",
 		"on arrival {\n\texclude(1)\n}":                                    "exclude can only be used in route hooks",
-		"on arrival {\n\trefuse(200)\n}":                                   "refuse(200) cannot be",
-		"on attempt_end {\n\ttreat_as(16)\n}":                              "treat_as(16) cannot be",
+		"on arrival {\n\trefuse(200)\n}":                                   "refuse(200) is not allowed",
+		"on attempt_end {\n\ttreat_as(16)\n}":                              "treat_as(16) is not allowed",
 		"fn f(a: int) int {\n\treturn f(a)\n}":                             "f calls itself",
 		"fn f() int {\n\treturn g()\n}\nfn g() int {\n\treturn f()\n}":     "calls itself",
 		"fn f() int {\n\tif true {\n\t\treturn 1\n\t}\n}":                  "f can end here without its int",
@@ -180,15 +185,15 @@
 		"on arrival {\n\ttag(\"abc)\n}":                                    "t.ug:2:6: the string has no end on its line",
 		"on arrival {\n":                                                   "this block has no end",
 		"arrival {\n}":                                                     `"arrival" begins no declaration`,
-		"every 10ms {\n}":                                                  "1s is the least",
-		"@steps(0) on arrival {\n}":                                        "@steps(0) cannot be",
+		"every 10ms {\n}":                                                  "the minimum is 1s",
+		"@steps(0) on arrival {\n}":                                        "@steps(0) is not allowed",
 		"@failure(refuse)\non final {\n}":                                  "only an arrival can be refused",
-		"rate r(window 10s, kees 5)":                                       `"kees" is nothing that a rate can have`,
-		"rate r(window 1ms)":                                               "a window of 1ms; 1s to 1h can be",
+		"rate r(window 10s, kees 5)":                                       `"kees" is no parameter of a rate`,
+		"rate r(window 1ms)":                                               "a window of 1ms; must be 1s to 1h",
 		"on arrival {\n\tr.add(call.called)\n}":                            "there is no rate, top or counter r",
-		"counter c\non arrival {\n\tc.most(1)\n}":                          "a counter has no most; add, value can be",
+		"counter c\non arrival {\n\tc.most(1)\n}":                          "a counter has no most; its methods are add, value",
 		"on arrival {\n\tlet x = 5q\n}":                                    `"q" is no unit of time`,
-		"on arrival {\n\tlet x = 1 $ 2\n}":                                 `"$" means nothing here`,
+		"on arrival {\n\tlet x = 1 $ 2\n}":                                 `unexpected "$"`,
 		"const x = 1 / 0":                                                  "division by zero",
 		"const a = b\nconst b = 1":                                         "a",
 		"on arrival {\n\tmatch call.called {\n\t\t1 -> tag(\"x\")\n\t}\n}": "this is int, the matched value string",
@@ -197,12 +202,12 @@
 		_, err := Compile("t.ug", src)
 		var e Errors
 		if !errors.As(err, &e) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s\nsays %v\nwant %s", src, err, want)
+			t.Errorf("%s\nerror %v\nwant %s", src, err, want)
 		}
 	}
 }
 
-// All faults of a file are told at once.
+// Guards against a parser or checker that stops at the first error.
 func TestAllCompileErrorsAreReportedAtOnce(t *testing.T) {
 	_, err := Compile("t.ug", "on arival {\n}\n\nfn f( {\n}\n\non arrival {\n\trefus(1)\n\tlet a = b\n}\n")
 	var e Errors
@@ -215,41 +220,42 @@
 	}
 }
 
+// Guards against missing warnings: unused declarations, unreachable code, and hooks that may exceed their step budget.
 func TestLinterWarnings(t *testing.T) {
 	p := mustCompile(t, "const c = 1\nvar v = 1\ncounter k\nfn f() {\n}\non arrival {\n\tlet x = 1\n\treturn\n\ttag(\"a\")\n}\n@steps(10)\non final {\n\tfor i in 0..100 {\n\t\ttag(text(i))\n\t}\n}\non route {\n\tfor i in 0..call.to {\n\t\texclude(i)\n\t}\n}\n")
 	all := p.Warnings.Error()
 	for _, want := range []string{"c is never used", "v is never used", "k is never used", "f is never called", "x is never used", "never reached", "may take", "depends on values"} {
 		if !strings.Contains(all, want) {
-			t.Errorf("no warning that %s:\n%s", want, all)
+			t.Errorf("missing warning: %s\ngot:\n%s", want, all)
 		}
 	}
 }
 
-// What a hook does wrong ends it, within its bounds, and tells where.
+// Guards against hooks that use more steps or memory than their budget, and runtime errors without cause or line.
 func TestFailingRunsEndWithinTheirBudgets(t *testing.T) {
 	for name, c := range map[string]struct {
-		src  string
-		want error
-		what string
+		src     string
+		wantErr error
+		message string
 	}{
-		"loops for ever":      {"on arrival {\n\tfor i in 0..1000000000000 {\n\t}\n}", ErrSteps, ""},
-		"loops in loops":      {"on arrival {\n\tfor i in 0..1000000 {\n\t\tfor j in 0..1000000 {\n\t\t\tlet _x = i * j\n\t\t}\n\t}\n}", ErrSteps, ""},
-		"doubles a string":    {"on arrival {\n\tlet s = \"xxxxxxxxxxxxxxxx\"\n\tfor _i in 0..100 {\n\t\ts = s + s\n\t}\n}", ErrMemory, ""},
-		"grows lists":         {"@steps(1000000)\non arrival {\n\tlet l = [\"x\"]\n\tfor _i in 0..1000000 {\n\t\tl = [l[0] + \"xxxxxxxxxxxxxxxx\"]\n\t}\n}", ErrMemory, ""},
-		"appends for ever":    {"@steps(1000000) @memory(1000000)\non arrival {\n\tlet l = [1]\n\tfor _i in 0..1000000 {\n\t\tappend(l, 1)\n\t}\n}", nil, "more than 1024"},
-		"nests copies":        {"const c = [[1, 2, 3], [1, 2, 3]]\non arrival {\n\tfor _i in 0..100000 {\n\t\tlet _d = c\n\t}\n}", ErrMemory, ""},
-		"throws":              {"on arrival {\n\tif true {\n\t\tfail \"out of \" + \"sorts\"\n\t}\n}", nil, "t.ug:3: out of sorts"},
-		"index beyond":        {"on arrival {\n\tlet l = [1]\n\tlet _x = l[call.category]\n}", nil, "t.ug:3: index 10 of a list of 1"},
-		"no key":              {"on arrival {\n\tlet m = {\"a\": 1}\n\ttag(text(m[call.called]))\n}", nil, "no key"},
-		"divides by zero":     {"on arrival {\n\tlet _x = 1 / (call.attempts - 1)\n}", nil, "division by zero"},
-		"bad cause":           {"on arrival {\n\trefuse(call.to * 100)\n}", nil, "cause values are 1 to 127"},
-		"bad number":          {"on arrival {\n\trewrite(\"12a\")\n}", nil, "digits are wanted"},
-		"tags for ever":       {"on arrival {\n\tfor i in 0..1000 {\n\t\ttag(text(i))\n\t}\n}", nil, "more than 16 tags"},
-		"excludes everything": {"on route {\n\tfor i in 0..1000 {\n\t\texclude(i)\n\t}\n}", nil, "more than 32"},
+		"too long a loop":           {"on arrival {\n\tfor i in 0..1000000000000 {\n\t}\n}", ErrSteps, ""},
+		"nested loops":              {"on arrival {\n\tfor i in 0..1000000 {\n\t\tfor j in 0..1000000 {\n\t\t\tlet _x = i * j\n\t\t}\n\t}\n}", ErrSteps, ""},
+		"string doubled in a loop":  {"on arrival {\n\tlet s = \"xxxxxxxxxxxxxxxx\"\n\tfor _i in 0..100 {\n\t\ts = s + s\n\t}\n}", ErrMemory, ""},
+		"list rebuilt in a loop":    {"@steps(1000000)\non arrival {\n\tlet l = [\"x\"]\n\tfor _i in 0..1000000 {\n\t\tl = [l[0] + \"xxxxxxxxxxxxxxxx\"]\n\t}\n}", ErrMemory, ""},
+		"list too long":             {"@steps(1000000) @memory(1000000)\non arrival {\n\tlet l = [1]\n\tfor _i in 0..1000000 {\n\t\tappend(l, 1)\n\t}\n}", nil, "more than 1024"},
+		"constant copied in a loop": {"const c = [[1, 2, 3], [1, 2, 3]]\non arrival {\n\tfor _i in 0..100000 {\n\t\tlet _d = c\n\t}\n}", ErrMemory, ""},
+		"fail statement":            {"on arrival {\n\tif true {\n\t\tfail \"out of \" + \"sorts\"\n\t}\n}", nil, "t.ug:3: out of sorts"},
+		"index out of range":        {"on arrival {\n\tlet l = [1]\n\tlet _x = l[call.category]\n}", nil, "t.ug:3: index 10 of a list of 1"},
+		"missing key":               {"on arrival {\n\tlet m = {\"a\": 1}\n\ttag(text(m[call.called]))\n}", nil, "no key"},
+		"division by zero":          {"on arrival {\n\tlet _x = 1 / (call.attempts - 1)\n}", nil, "division by zero"},
+		"invalid cause":             {"on arrival {\n\trefuse(call.to * 100)\n}", nil, "cause values are 1 to 127"},
+		"invalid number":            {"on arrival {\n\trewrite(\"12a\")\n}", nil, "must be 1 to 24 digits"},
+		"too many tags":             {"on arrival {\n\tfor i in 0..1000 {\n\t\ttag(text(i))\n\t}\n}", nil, "more than 16 tags"},
+		"too many exclusions":       {"on route {\n\tfor i in 0..1000 {\n\t\texclude(i)\n\t}\n}", nil, "more than 32"},
 	} {
 		res, err := runOnCallEvent(t, c.src)
 		var f *RuntimeError
-		if !errors.As(err, &f) || c.want != nil && !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.what) {
+		if !errors.As(err, &f) || c.wantErr != nil && !errors.Is(err, c.wantErr) || !strings.Contains(err.Error(), c.message) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if res.Memory > maxMemoryOctets+1<<16 || res.Steps > maxSteps+1000 {
@@ -258,10 +264,10 @@
 	}
 }
 
-// A pathological pattern on a long number costs one pass.
+// Guards against backtracking in patterns, which would let one instruction take unbounded time: a match costs one pass.
 func TestPatternMatchingIsLinear(t *testing.T) {
 	if !matchesPattern("82"+strings.Repeat("1", 22), strings.Repeat("?", 23)+"*") || matchesPattern("82", "???*") || !matchesPattern("", "*") || !matchesPattern("12", "12*") || matchesPattern("123", "12") {
-		t.Error("patterns are read wrongly")
+		t.Error("wrong result of a pattern match")
 	}
 	res, err := runOnCallEvent(t, "on final {\n\tlet n = 0\n\tfor _i in 0..100 {\n\t\tif call.called matches ????????????????????????* {\n\t\t\tn = n + 1\n\t\t}\n\t}\n\tlog(\"n\", n)\n}")
 	if err != nil || res.Steps > 700 {
@@ -269,7 +275,8 @@
 	}
 }
 
-// Variables are set by the tick alone, all at its end, and not at all if it fails.
+// Guards against a failed run that leaves some variables written: an every hook writes them all at its end or, if it fails, none.
+// A new version of the program keeps a variable of the same name only if its type uses the same register bank.
 func TestVariablesAreWrittenByASuccessfulRunOnly(t *testing.T) {
 	p := mustCompile(t, "var storm = false\nvar word = \"calm\"\nevery 5s {\n\tstorm = system.waiting > 5\n\tword = \"storm\"\n\tif system.open > 99 {\n\t\tfail \"too many\"\n\t}\n}\non arrival {\n\tif storm {\n\t\ttag(word)\n\t}\n}")
 	st, vm := p.NewState(nil, nil), NewVM()
@@ -285,41 +292,42 @@
 		return vm.Run(p, 0, &Event{N: [eventInts]int64{waiting, open}}, st, 0, &res)
 	}
 	if tags() != "" {
-		t.Error("set at the start")
+		t.Error("a tag before the first run of the every hook")
 	}
 	if runEvery(6, 100) == nil || tags() != "" {
-		t.Error("a tick that failed has changed something")
+		t.Error("the every hook did not fail, or its failed run has written a variable")
 	}
 	if runEvery(6, 1) != nil || tags() != "storm" {
-		t.Error("not set")
+		t.Error("variables not written by a successful run")
 	}
 	q := mustCompile(t, "var word = \"new\"\nvar storm = 5\non arrival {\n\ttag(word)\n\ttag(text(storm))\n}")
 	var res Result
 	if err := vm.Run(q, 0, &callEvent, q.NewState(st, p), 0, &res); err != nil || fmt.Sprint(res.Tags) != "[storm 1]" {
-		t.Errorf("a new version begins with %v, %v", res.Tags, err)
+		t.Errorf("tags from the new version's variables: %v, error %v", res.Tags, err)
 	}
 }
 
+// Guards against the eviction of a busy key by many rare ones: the table must keep the key with the highest rate.
 func TestRateOfABusyKeyAmongManyKeys(t *testing.T) {
 	r := NewRates(10*time.Second, 64)
 	now := time.Hour
 	for i := range 300 {
 		r.add("hot", now+time.Duration(i)*33*time.Millisecond)
-		r.add(fmt.Sprint("cold", i), now+time.Duration(i)*33*time.Millisecond) // many more keys than places
+		r.add(fmt.Sprint("cold", i), now+time.Duration(i)*33*time.Millisecond) // far more keys than entries
 	}
 	now += 300 * 33 * time.Millisecond
 	if v := r.perSecond("hot", now); v < 25 || v > 36 {
-		t.Errorf("30 a second read as %.1f", v)
+		t.Errorf("rate %.1f/s, want about 30/s", v)
 	}
 	if v := r.perSecond("hot", now+30*time.Second); v != 0 {
-		t.Errorf("%.1f long after", v)
+		t.Errorf("rate %.1f/s 30 s after the last event, want 0", v)
 	}
 	if v := r.perSecond("never", now); v != 0 {
-		t.Errorf("%.1f for a key never seen", v)
+		t.Errorf("rate %.1f/s of a key without events, want 0", v)
 	}
 }
 
-// The rate is over the whole window: what came in its first half still counts in the second, in full.
+// Guards against a rate that drops at the end of a fixed window: events count in full up to it, then in proportion.
 func TestRateCoversTheWholeWindow(t *testing.T) {
 	r := NewRates(10*time.Second, 64)
 	for range 50 {
@@ -335,7 +343,7 @@
 	}
 }
 
-// Counts of Space-Saving are never too low, and too high by the whole divided by the size at the most.
+// Guards against counts outside the bounds of Space-Saving: never too low, and too high by at most all events / kept keys.
 func TestTopCountsWithinSpaceSavingBounds(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	zipf := rand.NewZipf(rng, 1.2, 1, 5000)
@@ -348,15 +356,15 @@
 	}
 	for _, k := range top.Most(100) {
 		if c := top.Count(k); c < exact[k] || c > exact[k]+n/100 {
-			t.Errorf("%s counted %d, truly %d", k, c, exact[k])
+			t.Errorf("count of %s is %d, exact count %d", k, c, exact[k])
 		}
 	}
 	if m := top.Most(1); m[0] != "0" {
-		t.Errorf("most is %v", m)
+		t.Errorf("most frequent key is %v, want 0", m)
 	}
 }
 
-// Every built-in's example compiles, runs and is laid out as the formatter would.
+// Guards against examples on the reference page that do not compile, fail, or are not in the standard layout.
 func TestBuiltinExamplesRunAndAreFormatted(t *testing.T) {
 	for _, b := range builtins {
 		p := mustCompile(t, b.example)
@@ -365,19 +373,20 @@
 			t.Errorf("%s: %v", b.name, err)
 		}
 		if f, err := Format("t.ug", b.example); err != nil || f != b.example+"\n" {
-			t.Errorf("%s is laid out as\n%s %v", b.name, f, err)
+			t.Errorf("example of %s is formatted as\n%s error %v", b.name, f, err)
 		}
 	}
 }
 
-// The page in the repository is the one that the tables make.
+// Guards against a reference page that is older than the tables of fields and built-ins.
 func TestReferencePageIsUpToDate(t *testing.T) {
 	b, err := os.ReadFile("../docs/operations/script-reference.md")
 	if err != nil || string(b) != Reference() {
-		t.Errorf("the page is old: umbergauge script reference > docs/operations/script-reference.md (%v)", err)
+		t.Errorf("the page is out of date; run umbergauge script reference > docs/operations/script-reference.md (%v)", err)
 	}
 }
 
+// Guards against changes of the standard layout: indentation, spaces, empty lines and comments.
 func TestFormatLayout(t *testing.T) {
 	src := "const  m={\"a\":1 ,\"b\":-2}\n\n\n\n# on top\non   arrival{   # here\nif call.called matches 82* and not(1<-2){tag( \"x\" )}\nlet l=[1,2 , -3][0]\nfor i in 0 .. 3{\n# inside\n\nexclude2(i)\n\n}\n}\n"
 	src = strings.ReplaceAll(src, "exclude2(i)", "tag(text(i))")
@@ -388,12 +397,11 @@
 	}
 }
 
-// program draws a well-typed program: every one must compile, end within its budget, and never fail but by what the
-// language lets fail.
+// programGenerator draws well-typed programs.
 type programGenerator struct {
 	t         *rapid.T
 	depth     int
-	vars      map[string][]string // by type
+	vars      map[string][]string // variables in scope, by type
 	nameCount int
 }
 
@@ -513,6 +521,8 @@
 	}
 }
 
+// Guards against well-typed programs that do not compile, exceed their budgets, hit an unknown instruction, or change their code
+// when formatted.
 func TestGeneratedProgramsStayWithinTheirBudgets(t *testing.T) {
 	vm := NewVM()
 	rapid.Check(t, func(t *rapid.T) {
@@ -547,11 +557,13 @@
 			t.Fatalf("%v\n%s", err, once)
 		}
 		if fmt.Sprint(p.fns[0].code) != fmt.Sprint(q.fns[0].code) {
-			t.Fatalf("laid out it is another program:\n%s\n%s", b.String(), once)
+			t.Fatalf("formatting changes the compiled code:\n%s\n%s", b.String(), once)
 		}
 	})
 }
 
+// Guards against panics of the compiler, the interpreter and the formatter on any source, against runs beyond their steps, and against
+// a layout that changes when formatted again.
 func FuzzCompile(f *testing.F) {
 	for _, b := range builtins {
 		f.Add(b.example)
@@ -567,8 +579,8 @@
 		for i := range p.Hooks {
 			var res Result
 			err := vm.Run(p, i, &callEvent, st, time.Hour, &res)
-			var fault *RuntimeError
-			if err != nil && !errors.As(err, &fault) {
+			var runErr *RuntimeError
+			if err != nil && !errors.As(err, &runErr) {
 				t.Fatal(err)
 			}
 			if res.Steps > p.Hooks[i].Steps+20000 {
@@ -585,14 +597,14 @@
 	})
 }
 
-// The bounded structures beside the plain ones that would be written first: a million events over 100,000 keys, Zipf.
+// Compares Rates and Top with simple maps in time and memory: a million events over 100,000 keys in a Zipf distribution.
 func BenchmarkState(b *testing.B) {
 	zipf := rand.NewZipf(rand.New(rand.NewPCG(1, 2)), 1.1, 1, 99_999)
 	keys := make([]string, 1_000_000)
 	for i := range keys {
 		keys[i] = fmt.Sprint("82010", zipf.Uint64())
 	}
-	heapGrowth := func(f func()) float64 { // octets still held after a million events
+	heapGrowth := func(f func()) float64 { // growth of the heap in octets while f runs
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
--- a/script/state.go
+++ b/script/state.go
@@ -10,31 +10,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what a program keeps between calls: its variables, rates, tops and counters, each of a bounded size. It is safe
-// for concurrent use.
+// State holds what a program keeps between runs: its variables, rates, tops and counters, each of bounded size. It is safe for
+// concurrent use.
 type State struct {
 	vars     atomic.Pointer[varSet]
-	mu       sync.Mutex // of writers of vars
+	mu       sync.Mutex // held by writers of vars; readers load the pointer without it
 	rates    []*Rates
 	tops     []*Top
 	counters []*atomic.Int64
 }
 
-// varSet is the variables at one instant; it does not change.
+// varSet is an immutable snapshot of the variables.
 type varSet struct {
 	n []int64
 	s []string
 }
 
-// with is the set with one change.
+// withWrite returns a copy of the set with one variable changed.
 func (v *varSet) withWrite(c varWrite) *varSet {
 	w := &varSet{slices.Clone(v.n), slices.Clone(v.s)}
 	w.n[c.slot], w.s[c.slot] = c.n, c.s
 	return w
 }
 
-// NewState makes the state of a program, with its first values. With from, the state of an earlier version, what is
-// declared alike goes on: rates, tops and counters of the same name and size, and variables of the same name and kind.
+// NewState returns the initial state of a program. If oldState and oldProgram, an earlier version, are not nil, equal declarations
+// keep their state: rates, tops and counters of the same name and parameters, and variables of the same name and register bank.
 func (p *Program) NewState(oldState *State, oldProgram *Program) *State {
 	state := &State{}
 	values := &varSet{slices.Clone(p.varN), slices.Clone(p.varR)}
@@ -70,6 +70,7 @@
 	return state
 }
 
+// commitVars applies the assignments of a successful run.
 func (st *State) commitVars(_ *Program, changes []varWrite) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -81,7 +82,7 @@
 	st.vars.Store(w)
 }
 
-// Vars are the variables by name, as text, for operators.
+// Vars returns the values of the variables by name: strings, and all other types as int64 bits.
 func (p *Program) Vars(state *State) map[string]any {
 	out := map[string]any{}
 	values := state.vars.Load()
@@ -95,9 +96,10 @@
 	return out
 }
 
-// Rates counts events by key over a sliding window, for a bounded number of keys: a table of sets of eight entries, where a
-// new key takes the place of the slowest of its set. A key's count over the last window is that of the window under way and, in
-// proportion to what is left of it, of the one before, so an entry is 24 octets whatever the rate.
+// Rates counts events by key over a sliding window, for a bounded number of keys. It is a set-associative table: a new key
+// replaces the least frequent of the eight entries of its set. A key's count over the sliding window is the count of the current
+// fixed window plus that of the previous one, weighted by the part of the current one that is left. An entry takes 24 octets at
+// any rate.
 type Rates struct {
 	window time.Duration
 	mu     sync.Mutex
@@ -105,15 +107,16 @@
 	mask   uint64
 }
 
+// ways is the number of entries in a set of Rates.
 const ways = 8
 
 type rateEntry struct {
 	hash      uint64
-	epoch     uint32
-	now, last uint32
+	epoch     uint32 // number of the current window
+	now, last uint32 // events in the current and the previous window
 }
 
-// NewRates makes a Rates for at least the given number of keys.
+// NewRates returns a Rates with room for at least the given number of keys.
 func NewRates(window time.Duration, keys int) *Rates {
 	n := 1
 	for n*ways < keys {
@@ -122,7 +125,7 @@
 	return &Rates{window: max(window, time.Millisecond), sets: make([][ways]rateEntry, n), mask: uint64(n - 1)}
 }
 
-// roll brings an entry to an epoch.
+// advance moves an entry to the window of an epoch.
 func (e *rateEntry) advance(epoch uint32) {
 	switch epoch - e.epoch {
 	case 0:
@@ -181,8 +184,8 @@
 	return 0
 }
 
-// Top counts keys and keeps the most frequent: Space-Saving (Metwally, Agrawal and El Abbadi, 2005). A kept key's count is
-// never too low, and too high by the whole count divided by the size at the most.
+// Top keeps the most frequent keys with their counts by the Space-Saving algorithm (Metwally, Agrawal and El Abbadi, 2005). The
+// count of a kept key is never too low, and too high by at most the number of all events divided by the number of kept keys.
 type Top struct {
 	mu      sync.Mutex
 	size    int
@@ -208,13 +211,13 @@
 	return x
 }
 
-// NewTop makes a Top of a number of keys.
+// NewTop returns a Top that keeps a number of keys.
 func NewTop(keys int) *Top { return &Top{size: keys, entries: make(map[string]*topEntry, keys)} }
 
-// maxKey bounds a key in octets; longer ones are counted by their beginning.
+// maxKeyOctets limits the length of a key; longer keys are cut to it.
 const maxKeyOctets = 64
 
-// Add counts one for a key.
+// Add adds one to the count of a key.
 func (t *Top) Add(key string) {
 	if len(key) > maxKeyOctets {
 		key = key[:maxKeyOctets]
@@ -240,7 +243,7 @@
 	heap.Fix(&t.heap, 0)
 }
 
-// Count is the count of a key, 0 if it is not kept.
+// Count returns the count of a key, 0 if it is not kept.
 func (t *Top) Count(key string) int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -250,7 +253,7 @@
 	return 0
 }
 
-// Most are the n keys counted most, the most first; equal ones by key.
+// Most returns the n most frequent keys in descending order of their counts; keys with equal counts in ascending order.
 func (t *Top) Most(n int) []string {
 	t.mu.Lock()
 	sorted := make([]topEntry, len(t.heap))
--- a/script/token.go
+++ b/script/token.go
@@ -1,6 +1,6 @@
-// Package script is the small language of the daemon's hooks. Programs are typed, end within a budget of steps and memory
-// whatever they do, and reach nothing but what the hook's event and the declared state give them: no files, sockets or
-// clocks. docs/operations/script.md is the page for its readers, docs/design/script.md says why it is its own language.
+// Package script implements the language of the daemon's hooks. Programs are statically typed and always end within a budget of
+// steps and memory. They can access only the hook's event and their declared state: no files, sockets or clocks.
+// docs/operations/script.md is the users' guide; docs/design/script.md gives the reasons for a language of its own.
 package script
 
 import (
@@ -10,10 +10,10 @@
 	"unicode/utf8"
 )
 
-// Pos is a place in a file; lines and columns count from 1, columns in octets.
+// Pos is a position in a source file. Lines and columns count from 1, columns in octets.
 type Pos struct{ Line, Column int }
 
-// Error is one fault of a program.
+// Error is one compilation error or warning.
 type Error struct {
 	File string
 	Pos
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Message)
 }
 
-// Errors are all faults found, by place.
+// Errors are the errors or warnings found in a program.
 type Errors []*Error
 
 func (e Errors) Error() string {
@@ -49,7 +49,7 @@
 	tString
 	tDuration
 	tPattern
-	tPunct // operators and brackets, by text
+	tPunct // operators and brackets, told apart by text
 	tComment
 )
 
@@ -57,9 +57,9 @@
 	kind kind
 	text string
 	pos  Pos
-	i    int64   // of ints and durations
-	f    float64 // of floats
-	s    string  // of strings
+	i    int64   // value of ints and durations
+	f    float64 // value of floats
+	s    string  // value of strings, text of patterns
 }
 
 func (t token) String() string {
@@ -76,7 +76,7 @@
 	"every": true, "let": true, "if": true, "else": true, "for": true, "in": true, "match": true, "return": true, "break": true,
 	"continue": true, "fail": true, "and": true, "or": true, "not": true, "matches": true, "true": true, "false": true}
 
-// maxSource bounds a file in octets.
+// maxSourceOctets limits the size of a source file.
 const maxSourceOctets = 1 << 18
 
 type lexer struct {
@@ -84,7 +84,7 @@
 	src       string
 	offset    int
 	line      int
-	lineStart int // of the line
+	lineStart int // offset of the current line
 	errs      Errors
 	tokens    []token
 }
@@ -97,13 +97,13 @@
 	}
 }
 
-// maxErrors bounds the faults that are told at once.
+// maxErrors limits the errors that are reported at once.
 const maxErrors = 20
 
 func lex(file, src string) ([]token, Errors) {
 	l := &lexer{file: file, src: src, line: 1}
 	if len(src) > maxSourceOctets {
-		l.errorAt(Pos{1, 1}, "the file has %d octets; %d can be", len(src), maxSourceOctets)
+		l.errorAt(Pos{1, 1}, "the file has %d octets; the limit is %d", len(src), maxSourceOctets)
 		return nil, l.errs
 	}
 	for l.offset < len(src) {
@@ -117,8 +117,10 @@
 func isLetter(c byte) bool { return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' }
 func isDigit(c byte) bool  { return c >= '0' && c <= '9' }
 
+// durationUnits are the suffixes of duration literals.
 var durationUnits = map[string]time.Duration{"ms": time.Millisecond, "s": time.Second, "m": time.Minute, "h": time.Hour}
 
+// lexToken reads a token, white space or a comment.
 func (l *lexer) lexToken() {
 	c, p, start := l.src[l.offset], l.pos(), l.offset
 	emit := func(t token) {
@@ -161,25 +163,25 @@
 		}
 		_, n := utf8.DecodeRuneInString(l.src[l.offset:])
 		l.offset += n
-		l.errorAt(p, "%q means nothing here", l.src[start:l.offset])
+		l.errorAt(p, "unexpected %q", l.src[start:l.offset])
 	}
 }
 
-// number reads an int, a float, a duration such as 1.5s, or a pattern of digits such as 82?1*.
+// number reads a literal: an int, a float, a duration such as 1.5s, or a pattern of digits such as 82?1*.
 func (l *lexer) number(emit func(token)) {
 	p, start := l.pos(), l.offset
 	for l.offset < len(l.src) && (isDigit(l.src[l.offset]) || l.src[l.offset] == '?') {
 		l.offset++
 	}
 	digits := l.src[start:l.offset]
-	// Digits with a star right behind them and nothing to multiply with behind that are a pattern: 82* but not 82*3.
+	// Digits followed directly by a star are a pattern unless the star is followed by an operand: 82* is one, 82*3 is a product.
 	star := l.offset < len(l.src) && l.src[l.offset] == '*' && (l.offset+1 == len(l.src) || !isDigit(l.src[l.offset+1]) && !isLetter(l.src[l.offset+1]) && l.src[l.offset+1] != '(')
 	if star || strings.Contains(digits, "?") {
 		if l.offset < len(l.src) && l.src[l.offset] == '*' {
 			l.offset++
 		}
 		if len(digits) > 24 {
-			l.errorAt(p, "a pattern of %d digits; 24 can be", len(digits))
+			l.errorAt(p, "a pattern of %d digits; the limit is 24", len(digits))
 		}
 		emit(token{kind: tPattern, s: l.src[start:l.offset]})
 		return
@@ -199,7 +201,7 @@
 	}
 	unit := l.src[from:l.offset]
 	if len(intPart) > 18 || len(fracPart) > 18 {
-		l.errorAt(p, "a number of %d digits; 18 can be", len(intPart)+len(fracPart))
+		l.errorAt(p, "a number of %d digits; the limit is 18", len(intPart)+len(fracPart))
 		intPart, fracPart = "0", ""
 	}
 	var value int64
@@ -215,12 +217,12 @@
 	switch d, ok := durationUnits[unit]; {
 	case ok:
 		if f*float64(d) > float64(1<<62) {
-			l.errorAt(p, "a duration beyond all bounds")
+			l.errorAt(p, "duration too large")
 			f = 0
 		}
 		emit(token{kind: tDuration, i: int64(f*float64(d) + 0.5)})
 	case unit != "":
-		l.errorAt(p, "%q is no unit of time; ms, s, m and h can be", unit)
+		l.errorAt(p, "%q is no unit of time; the units are ms, s, m and h", unit)
 		emit(token{kind: tInt, i: value})
 	case fracPart != "":
 		emit(token{kind: tFloat, f: f})
@@ -229,6 +231,7 @@
 	}
 }
 
+// text reads a string literal.
 func (l *lexer) text(emit func(token)) {
 	p := l.pos()
 	var b strings.Builder
@@ -252,7 +255,7 @@
 			case '"', '\\':
 				c = e
 			default:
-				l.errorAt(l.pos(), "\\%c is no escape; \\n, \\t, \\\" and \\\\ can be", e)
+				l.errorAt(l.pos(), "\\%c is no escape sequence; those are \\n, \\t, \\\" and \\\\", e)
 				continue
 			}
 		}
--- a/script/vm.go
+++ b/script/vm.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// ref is a string, or a list or map.
+// ref is a value of the reference bank: a string, or a list or map.
 type ref struct {
 	s   string
 	obj *object
 }
 
-// object is a list or a map: numbers or references, for a map in the order of its keys.
+// object is a list or a map. Its values are numbers (n) or references (r); those of a map are in the order of its keys.
 type object struct {
 	n         []int64
 	r         []ref
 	keys      []string
-	at        map[string]int // of keys, once there are many
+	at        map[string]int // index of each key, or of each element of a constant list of strings; nil up to maxLinearKeys
 	holdsRefs bool
 }
 
@@ -31,6 +31,7 @@
 	return len(o.n)
 }
 
+// maxLinearKeys is the number of keys or strings up to which a search is linear.
 const maxLinearKeys = 8
 
 func (o *object) find(k string) int {
@@ -51,14 +52,14 @@
 func floatToBits(f float64) int64 { return int64(math.Float64bits(f)) }
 func bitsToFloat(n int64) float64 { return math.Float64frombits(uint64(n)) }
 
-// The ways in which a run ends before its end.
+// Errors of a run that has used up its budget.
 var (
 	ErrSteps  = errors.New("out of steps")
 	ErrMemory = errors.New("out of memory")
 )
 
-// RuntimeError is a run that failed: by fail, an index beyond a list, a missing key, a division by zero or a value that an action
-// does not take; or, wrapped, ErrSteps or ErrMemory.
+// RuntimeError reports a failed run: a fail statement, an index out of range, a missing key, a division by zero, or a value that
+// an action does not accept. Err is ErrSteps or ErrMemory if the budget is used up, else nil.
 type RuntimeError struct {
 	Program string
 	Line    int
@@ -70,13 +71,13 @@
 
 func (e *RuntimeError) Unwrap() error { return e.Err }
 
-// Event is what a hook is told: numbers and strings at the places that hookFields names.
+// Event is the input of a hook: numbers and strings, at the slots that hookFields assigns.
 type Event struct {
 	N [eventInts]int64
 	S [eventStrings]string
 }
 
-// Bounds of what a run can ask for.
+// Limits of a Result; lengths are in octets.
 const (
 	maxTags      = 16
 	maxTagOctets = 64
@@ -84,12 +85,12 @@
 	maxLogFields = 16
 )
 
-// LogField is a field for a log line.
+// LogField is a field that a hook adds to the log line.
 type LogField struct{ Key, Value string }
 
-// Result is what a hook asked for. The zero Result asks for nothing.
+// Result holds the actions that a hook requested, and what the run used. The zero Result requests nothing.
 type Result struct {
-	Refuse  int // cause value; 0: not refused
+	Refuse  int // cause value of Q.850; 0: not refused
 	Class   string
 	Tenant  string
 	Rewrite string
@@ -97,16 +98,16 @@
 	Tags    []string
 	Exclude []int
 	Logs    []LogField
-	Steps   int // used
-	Memory  int
+	Steps   int // steps used
+	Memory  int // octets used
 }
 
-// Reset makes a Result ready for the next run; it keeps its memory.
+// Reset clears a Result for the next run and keeps its slices' capacity.
 func (r *Result) Reset() {
 	*r = Result{Tags: r.Tags[:0], Exclude: r.Exclude[:0], Logs: r.Logs[:0]}
 }
 
-// VM runs programs, one at a time. It keeps its registers between runs.
+// VM runs programs, one at a time. It reuses its registers between runs.
 type VM struct {
 	n         []int64
 	r         []ref
@@ -114,23 +115,25 @@
 	varWrites []varWrite
 }
 
+// varWrite is a pending assignment to a variable.
 type varWrite struct {
 	slot int
 	n    int64
 	s    string
 }
 
+// frame is the caller's position and register windows.
 type frame struct {
 	fn   *function
 	pc   int
 	n, r int
 }
 
-// NewVM makes a VM.
+// NewVM returns a VM.
 func NewVM() *VM { return &VM{frames: make([]frame, 0, maxCallDepth+2)} }
 
-// Run runs a hook of a program on an event. st is the program's state, now the time that rates count by. What the hook
-// asked for is in res, whose values count only when the error is nil: a failed run asks for nothing. The error is a *Fault.
+// Run runs a hook of a program on an event. state is the program's state, now the time for rates. The requested actions are in
+// res, which is valid only if the error is nil. The error is a *RuntimeError. Variables are written only if the run succeeds.
 func (vm *VM) Run(p *Program, hookIndex int, event *Event, state *State, now time.Duration, res *Result) error {
 	hook := &p.Hooks[hookIndex]
 	fn := p.fns[hook.fn]
@@ -146,7 +149,7 @@
 		vars = state.vars.Load()
 	}
 	line, message, err := vm.run(p, fn, event, state, vars, now, res, hook.Steps, hook.Memory)
-	clear(vm.r[:p.stackR]) // nothing of a call stays for the next
+	clear(vm.r[:p.stackR]) // drop references to this run's strings and lists
 	if err == nil && message == "" {
 		if len(vm.varWrites) > 0 {
 			state.commitVars(p, vm.varWrites)
@@ -166,7 +169,7 @@
 	return 0
 }
 
-// matches tells whether digits match a pattern: ? is any one digit, a * at the end whatever follows.
+// matchesPattern reports whether digits match a pattern: ? is any one digit, * at the end any digits or none.
 func matchesPattern(s, pattern string) bool {
 	prefixOnly := false
 	if n := len(pattern); n > 0 && pattern[n-1] == '*' {
@@ -183,8 +186,9 @@
 	return true
 }
 
-// run is the interpreter. Every instruction costs a step, and what works through a list or string one more for each 16
-// elements, so that steps bound the time.
+// run is the interpreter. Every instruction costs one step; work on lists, strings, rates and tops costs further steps by its
+// size, such as one for 16 elements or 64 octets, so that the step budget bounds the time. Values that are made cost memory in
+// octets, roughly: 48 for a list, 8 for a number, 24 for a reference. Empty message and nil err: the run succeeded.
 func (vm *VM) run(p *Program, fn *function, event *Event, state *State, vars *varSet, now time.Duration, res *Result, stepsLeft, memoryLeft int) (line int, message string, err error) {
 	stepBudget, memoryBudget := stepsLeft, memoryLeft
 	pc, baseN, baseR := 0, 0, 0
@@ -254,7 +258,7 @@
 			if d == 0 {
 				return at(), "division by zero", nil
 			}
-			if d == -1 { // the least int divided by -1 has no place
+			if d == -1 { // the least int divided by -1 overflows: negate, which wraps around
 				n[baseN+a] = -n[baseN+b]
 				if i.op == opModI {
 					n[baseN+a] = 0
@@ -326,7 +330,7 @@
 		case opInR:
 			l, x := r[baseR+c].obj, r[baseR+b].s
 			found := int64(0)
-			if l.at != nil { // a declared constant of many
+			if l.at != nil { // a declared constant list has an index
 				_, ok := l.at[x]
 				n[baseN+a] = boolToInt(ok)
 				break
@@ -520,7 +524,7 @@
 		case opFloatToInt:
 			f := bitsToFloat(n[baseN+b])
 			if math.IsNaN(f) || f >= 1<<63 || f < -1<<63 {
-				return at(), "a float beyond the ints", nil
+				return at(), "float out of the range of int", nil
 			}
 			n[baseN+a] = int64(f)
 		case opIntToFloat:
@@ -574,7 +578,7 @@
 		case opRewrite:
 			s := r[baseR+a].s
 			if len(s) < 1 || len(s) > 24 || strings.Trim(s, "0123456789") != "" {
-				return at(), fmt.Sprintf("rewrite(%q): 1 to 24 digits are wanted", truncate(s)), nil
+				return at(), fmt.Sprintf("rewrite(%q): must be 1 to 24 digits", truncate(s)), nil
 			}
 			res.Rewrite = s
 		case opExclude:
@@ -584,7 +588,7 @@
 			res.Exclude = append(res.Exclude, int(n[baseN+a]))
 		case opTreatAs:
 			if v := n[baseN+a]; !ValidTreatAs(v) {
-				return at(), fmt.Sprintf("treat_as(%d): 17, 34, 41 and 42 can be", v), nil
+				return at(), fmt.Sprintf("treat_as(%d): cause must be 17, 34, 41 or 42", v), nil
 			} else {
 				res.TreatAs = int(v)
 			}
@@ -640,7 +644,7 @@
 	return s
 }
 
-// copyOf copies a list or map with all that it holds, and tells the octets.
+// deepCopy copies a list or map with all nested ones and returns the size of the copy in octets.
 func deepCopy(obj *object) (*object, int) {
 	clone := &object{holdsRefs: obj.holdsRefs, n: append([]int64(nil), obj.n...), keys: append([]string(nil), obj.keys...)}
 	size := 48 + 8*len(obj.n) + 24*len(obj.r) + 24*len(obj.keys)
@@ -655,7 +659,7 @@
 			}
 		}
 	}
-	if obj.at != nil && obj.keys != nil { // the index of a constant list is not that of a list that may change
+	if obj.at != nil && obj.keys != nil { // a map's index; that of a constant list is dropped, as the copy can change
 		clone.at = make(map[string]int, len(obj.at))
 		for k, v := range obj.at {
 			clone.at[k] = v
