--- a/script/check.go
+++ b/script/check.go
@@ -31,10 +31,10 @@
 	states   map[string]*stateDecl
 	fns      map[string]*fnDecl
 	hooks    []*hookDecl
-	declared map[string]Pos
+	declared map[string]Pos // position of each declaration with a name
 
-	scopes    []map[string]*local
-	locals    int
+	scopes    []map[string]*local // the innermost last
+	locals    int                 // declared so far in the function or hook
 	fn        *fnDecl
 	hook      *hookDecl
 	loopDepth int
--- a/script/compile.go
+++ b/script/compile.go
@@ -311,10 +311,10 @@
 	vm := NewVM()
 	vm.n, vm.r = make([]int64, g.fn.regsN+1), make([]ref, g.fn.regsR+1)
 	var res Result
-	if line, what, err := vm.run(&p, g.fn, &Event{}, nil, nil, 0, &res, maxSteps, maxMemoryOctets); err != nil {
+	if line, message, err := vm.run(&p, g.fn, &Event{}, nil, nil, 0, &res, maxSteps, maxMemoryOctets); err != nil {
 		return v, &Error{g.p.Name, pos, err.Error()}
-	} else if what != "" {
-		return v, &Error{g.p.Name, Pos{line, pos.Column}, what}
+	} else if message != "" {
+		return v, &Error{g.p.Name, Pos{line, pos.Column}, message}
 	}
 	if t.isRef() {
 		v.r = vm.r[reg]
--- a/script/script_test.go
+++ b/script/script_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// Guards against wrong programs that compile, and errors without position or without the suggestion for a misspelt name.
+// Guards against invalid programs that compile, and errors without position or without the suggestion for a misspelt name.
 func TestCompileErrorsGivePositionAndSuggestion(t *testing.T) {
 	for src, want := range map[string]string{
 		"on arival {\n}":                                                   `t.ug:1:1: "arival" is no hook; arrival?`,
--- a/script/token.go
+++ b/script/token.go
@@ -49,7 +49,7 @@
 	tString
 	tDuration
 	tPattern
-	tPunct // operators and brackets, told apart by text
+	tPunct // operators and brackets, distinguished by text
 	tComment
 )
 
@@ -174,7 +174,7 @@
 		l.offset++
 	}
 	digits := l.src[start:l.offset]
-	// Digits followed directly by a star are a pattern unless the star is followed by an operand: 82* is one, 82*3 is a product.
+	// Digits followed directly by a star are a pattern unless an operand follows the star directly: 82* is one, 82*3 is a product.
 	star := l.offset < len(l.src) && l.src[l.offset] == '*' && (l.offset+1 == len(l.src) || !isDigit(l.src[l.offset+1]) && !isLetter(l.src[l.offset+1]) && l.src[l.offset+1] != '(')
 	if star || strings.Contains(digits, "?") {
 		if l.offset < len(l.src) && l.src[l.offset] == '*' {
--- a/script/vm.go
+++ b/script/vm.go
@@ -73,7 +73,7 @@
 
 // Event is the input of a hook: numbers and strings, at the slots that hookFields assigns.
 type Event struct {
-	N [eventInts]int64
+	N [eventInts]int64 // ints, bools (0 or 1) and durations in nanoseconds
 	S [eventStrings]string
 }
 
@@ -637,6 +637,7 @@
 	}
 }
 
+// truncate shortens a string for an error message.
 func truncate(s string) string {
 	if len(s) > 200 {
 		return s[:200] + "..."
