--- a/script/ast.go
+++ b/script/ast.go
@@ -5,13 +5,13 @@
 // Type is a type of the language.
 type Type struct {
 	kind typeKind
-	elem *Type // of lists and maps
+	elem *Type // element type of lists and maps; nil: any
 }
 
 type typeKind uint8
 
 const (
-	kNone typeKind = iota // of what has no value, and of what is wrong already
+	kNone typeKind = iota // no value, or an expression with a reported error
 	kInt
 	kFloat
 	kBool
@@ -45,17 +45,18 @@
 	return [...]string{"nothing", "int", "float", "bool", "duration", "string", "pattern"}[t.kind]
 }
 
-func (t Type) is(u Type) bool {
+// compatibleWith reports whether two types are equal; a list or map without an element type equals all of its kind.
+func (t Type) compatibleWith(u Type) bool {
 	if t.kind != u.kind {
 		return false
 	}
-	return t.elem == nil || u.elem == nil || t.elem.is(*u.elem)
+	return t.elem == nil || u.elem == nil || t.elem.compatibleWith(*u.elem)
 }
 
-// wide tells that values live in the bank of references.
-func (t Type) wide() bool { return t.kind >= kString }
+// isRef reports whether values of the type are kept in the bank of references.
+func (t Type) isRef() bool { return t.kind >= kString }
 
-// file is a parsed program.
+// file is the syntax tree of a source file.
 type file struct {
 	name     string
 	decls    []decl
@@ -82,13 +83,13 @@
 	}
 	// stateDecl declares a rate, a top or a counter.
 	stateDecl struct {
-		pos    Pos
-		what   string
-		name   string
-		window time.Duration
-		keys   int
-		used   bool
-		slot   int
+		pos     Pos
+		keyword string
+		name    string
+		window  time.Duration
+		keys    int
+		used    bool
+		slot    int
 	}
 	param struct {
 		pos  Pos
@@ -104,7 +105,7 @@
 		used   bool
 		index  int
 		calls  map[*fnDecl]Pos
-		locals []*local // of the parameters
+		locals []*local // one for each parameter
 	}
 	attr struct {
 		pos   Pos
@@ -112,15 +113,15 @@
 		value token
 	}
 	hookDecl struct {
-		pos    Pos
-		attrs  []attr
-		hook   string // arrival ... or every
-		every  time.Duration
-		body   *block
-		calls  map[*fnDecl]Pos
-		refuse bool
-		steps  int
-		memory int
+		pos             Pos
+		attrs           []attr
+		hook            string // one of HookNames
+		every           time.Duration
+		body            *block
+		calls           map[*fnDecl]Pos
+		refuseOnFailure bool
+		steps           int
+		memory          int
 	}
 )
 
@@ -158,15 +159,15 @@
 	forStmt struct {
 		pos      Pos
 		name     string
-		from, to expr // to: of a range, else nil
+		from, to expr // to is nil unless the loop is over a range
 		body     *block
 		v        *local
 	}
 	arm struct {
-		pos    Pos
-		values []expr // none: else
-		tops   []expr // end of a range for the value at the same place, or nil
-		body   *block
+		pos       Pos
+		values    []expr // empty for else
+		rangeEnds []expr // for each value the end of its range, or nil
+		body      *block
 	}
 	matchStmt struct {
 		pos  Pos
@@ -178,8 +179,8 @@
 		x   expr
 	}
 	breakStmt struct {
-		pos  Pos
-		next bool // continue
+		pos        Pos
+		isContinue bool // it is a continue statement
 	}
 	failStmt struct {
 		pos Pos
@@ -207,6 +208,7 @@
 	typ() Type
 }
 
+// typed is the part common to all expressions: position and type. The checker sets the type.
 type typed struct {
 	pos Pos
 	ty  Type
@@ -223,7 +225,7 @@
 	nameExpr struct {
 		typed
 		name string
-		ref  any // *local, *constDecl, *varDecl, after the check
+		ref  any // *local, *constDecl or *varDecl; set by the checker
 	}
 	fieldExpr struct {
 		typed
@@ -254,21 +256,21 @@
 	}
 	callExpr struct {
 		typed
-		object string // of a method on declared state
-		name   string
-		args   []expr
-		fn     *fnDecl
-		built  *builtin
-		state  *stateDecl
+		object      string // rate, top or counter of a method call, else empty
+		name        string
+		args        []expr
+		fn          *fnDecl
+		builtinFunc *builtin
+		state       *stateDecl
 	}
 )
 
-// local is a variable of a function or hook.
+// local is a local variable or parameter of a function or hook.
 type local struct {
-	name string
-	pos  Pos
-	ty   Type
-	used bool
-	fix  bool // of a loop: it cannot be assigned
-	reg  int
+	name     string
+	pos      Pos
+	ty       Type
+	used     bool
+	readOnly bool // a loop variable, which cannot be assigned
+	reg      int
 }
