--- a/script/check.go
+++ b/script/check.go
@@ -157,7 +157,7 @@
 		c.errorAt(d.pos, "%q is no hook%s; the hooks are %s", d.hook, suggest(d.hook, HookNames), strings.Join(HookNames[:5], ", "))
 	}
 	if d.hook == Every && d.every < 1e9 {
-		c.errorAt(d.pos, "every %v; the minimum is 1s", d.every)
+		c.errorAt(d.pos, "every %v; 1s is the least", d.every)
 	}
 	d.steps, d.memory = defaultSteps, defaultMemoryOctets
 	for _, attribute := range d.attrs {
@@ -172,7 +172,7 @@
 		case attribute.name == "memory" && v.kind == tInt && v.i >= 0 && v.i <= maxMemoryOctets:
 			d.memory = int(v.i)
 		default:
-			c.errorAt(attribute.pos, "@%s(%s) is not allowed; the attributes are @failure(default or refuse), @steps(1 to %d) and @memory(0 to %d)", attribute.name, v.text, maxSteps, maxMemoryOctets)
+			c.errorAt(attribute.pos, "@%s(%s) cannot be; @failure(default or refuse), @steps(1 to %d) and @memory(0 to %d) can", attribute.name, v.text, maxSteps, maxMemoryOctets)
 		}
 	}
 }
@@ -638,9 +638,9 @@
 	}
 	hint := ""
 	if a.kind == kInt && b.kind == kFloat || a.kind == kFloat && b.kind == kInt {
-		hint = "; float() converts the int"
+		hint = "; float() makes the int one"
 	}
-	c.errorAt(x.pos, "%v %s %v is not allowed%s", a, x.op, b, hint)
+	c.errorAt(x.pos, "%v %s %v cannot be%s", a, x.op, b, hint)
 	return tyNone
 }
 
@@ -703,7 +703,7 @@
 			known = append(known, b.name)
 		}
 	}
-	c.errorAt(x.pos, "a %s has no %s; its methods are %s", d.keyword, x.name, strings.Join(known, ", "))
+	c.errorAt(x.pos, "a %s has no %s; %s can be", d.keyword, x.name, strings.Join(known, ", "))
 	return tyNone
 }
 
@@ -752,7 +752,7 @@
 	case opTreatAs, opRefuse:
 		if l, ok := x.args[0].(*litExpr); ok {
 			if b.op == opTreatAs && !ValidTreatAs(l.tok.i) || b.op == opRefuse && (l.tok.i < 1 || l.tok.i > 127) {
-				c.errorAt(l.pos, "%s(%d) is not allowed", b.name, l.tok.i)
+				c.errorAt(l.pos, "%s(%d) cannot be", b.name, l.tok.i)
 			}
 		}
 	}
--- a/script/parse.go
+++ b/script/parse.go
@@ -180,11 +180,11 @@
 				d.keys = int(v.i)
 			case o.text == "window" && v.kind == tDuration && t.text == "rate":
 				if v.i < int64(time.Second) || v.i > int64(time.Hour) {
-					p.errorAt(v.pos, "a window of %v; must be 1s to 1h", time.Duration(v.i))
+					p.errorAt(v.pos, "a window of %v; 1s to 1h can be", time.Duration(v.i))
 				}
 				d.window = time.Duration(v.i)
 			default:
-				p.errorAt(o.pos, "%s is no parameter of a %s; the parameters are keys N%s", o, t.text, map[bool]string{true: " and window DURATION"}[t.text == "rate"])
+				p.errorAt(o.pos, "%s is nothing that a %s can have; keys N%s can be", o, t.text, map[bool]string{true: " and window DURATION"}[t.text == "rate"])
 			}
 			if !p.accept(",") {
 				break
--- a/script/token.go
+++ b/script/token.go
@@ -163,7 +163,7 @@
 		}
 		_, n := utf8.DecodeRuneInString(l.src[l.offset:])
 		l.offset += n
-		l.errorAt(p, "unexpected %q", l.src[start:l.offset])
+		l.errorAt(p, "%q means nothing here", l.src[start:l.offset])
 	}
 }
 
--- a/script/vm.go
+++ b/script/vm.go
@@ -578,7 +578,7 @@
 		case opRewrite:
 			s := r[baseR+a].s
 			if len(s) < 1 || len(s) > 24 || strings.Trim(s, "0123456789") != "" {
-				return at(), fmt.Sprintf("rewrite(%q): must be 1 to 24 digits", truncate(s)), nil
+				return at(), fmt.Sprintf("rewrite(%q): 1 to 24 digits are wanted", truncate(s)), nil
 			}
 			res.Rewrite = s
 		case opExclude:
