--- a/emulator/client.go
+++ b/emulator/client.go
@@ -12,23 +12,23 @@
 	"github.com/umbergauge/umbergauge/record"
 )
 
-// ClientConfig is one stand-in client.
+// ClientConfig configures one emulated client.
 type ClientConfig struct {
-	PC         uint32 // its own point code, which is its ASP identifier too
-	Controller uint32 // exchange of its controller
-	Addr       string // of its controller
+	PC         uint32 // the client's point code, also sent as its ASP identifier
+	Controller uint32 // point code of its controller's exchange
+	Addr       string // address of its controller
 	Seed       uint64
 }
 
-// Call is one call that a caller wants.
+// Call describes one call that a caller makes.
 type Call struct {
 	Calling, Called string
 	Category        isup.Category
 	Hold            time.Duration // the caller hangs up after this
-	Patience        time.Duration // a try is given up after this, unless it rings by then
-	Ring            time.Duration // ... and then after this; 0: a minute
-	Redials         int           // further tries after a refusal, a cut or giving up
-	RedialAfter     time.Duration // on average
+	Patience        time.Duration // an attempt that has not been alerted by then is abandoned and may be redialled
+	Ring            time.Duration // an alerted call that is not answered within this is abandoned for good; 0: a minute
+	Redials         int           // further attempts after a refused, cut or abandoned one
+	RedialAfter     time.Duration // mean delay before a redial; each is drawn from 50% to 150% of it
 }
 
 // Client offers calls to one controller. Its methods may be called from any goroutine.
@@ -39,17 +39,17 @@
 	quit   chan struct{}
 	wg     sync.WaitGroup
 
-	// Of the event goroutine from here on.
-	rng     *rand.Rand
-	wire    *wire
-	calls   map[uint16]*clCall
-	nextCIC uint16
-	nextRef uint32
-	stopped bool
-	Counts  ClientCounts
+	// The fields below are used only by the event loop.
+	rng          *rand.Rand
+	association  *association
+	calls        map[uint16]*clientCall
+	nextCIC      uint16
+	nextRef      uint32
+	callsStopped bool
+	Counts       ClientCounts
 }
 
-// ClientCounts are totals of a client.
+// ClientCounts are the call counters of a client.
 type ClientCounts struct {
 	Tries                        int
 	Alerted                      int `json:"Rang"`
@@ -60,33 +60,33 @@
 	Cut, NoCircuit, NotConnected int
 }
 
-type clState uint8
+type clientCallState uint8
 
 const (
-	clWaiting clState = iota
-	clStanding
-	clReleasing
+	clientCallPending clientCallState = iota
+	clientCallEstablished
+	clientCallReleasing
 )
 
-type clCall struct {
+type clientCall struct {
 	Call
-	cic   uint16
-	state clState
-	rings bool
-	timer *time.Timer
+	cic     uint16
+	state   clientCallState
+	alerted bool
+	timer   *time.Timer
 }
 
-// NewClient makes a client that connects and stays connected until Close.
-func NewClient(n *Network, cfg ClientConfig) *Client {
-	c := &Client{cfg: cfg, net: n, events: make(chan func(), 4096), quit: make(chan struct{}),
-		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.PC))), calls: map[uint16]*clCall{}}
+// NewClient creates a client and starts it. It connects, and reconnects when the connection ends, until Close.
+func NewClient(network *Network, cfg ClientConfig) *Client {
+	c := &Client{cfg: cfg, net: network, events: make(chan func(), 4096), quit: make(chan struct{}),
+		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.PC))), calls: map[uint16]*clientCall{}}
 	c.wg.Add(2)
-	go c.loop()
+	go c.eventLoop()
 	go c.connect()
 	return c
 }
 
-func (c *Client) loop() {
+func (c *Client) eventLoop() {
 	defer c.wg.Done()
 	for {
 		select {
@@ -98,57 +98,57 @@
 	}
 }
 
-func (c *Client) do(f func()) {
+func (c *Client) post(f func()) {
 	select {
 	case c.events <- f:
 	case <-c.quit:
 	}
 }
 
-// Close ends the client.
+// Close stops the client and waits for its goroutines.
 func (c *Client) Close() {
 	close(c.quit)
 	c.wg.Wait()
 }
 
-// Totals are the client's counts now.
+// Totals returns the current counters.
 func (c *Client) Totals() ClientCounts {
-	out := make(chan ClientCounts, 1)
-	c.do(func() { out <- c.Counts })
+	reply := make(chan ClientCounts, 1)
+	c.post(func() { reply <- c.Counts })
 	select {
-	case t := <-out:
-		return t
+	case totals := <-reply:
+		return totals
 	case <-c.quit:
 		return c.Counts
 	}
 }
 
-// Connected tells whether traffic can flow.
+// Connected reports whether the association is active, so that calls can be made.
 func (c *Client) Connected() bool {
-	out := make(chan bool, 1)
-	c.do(func() { out <- c.wire != nil })
+	reply := make(chan bool, 1)
+	c.post(func() { reply <- c.association != nil })
 	select {
-	case t := <-out:
-		return t
+	case connected := <-reply:
+		return connected
 	case <-c.quit:
 		return false
 	}
 }
 
-// Reset breaks the connection.
+// Reset closes the connection; the client reconnects.
 func (c *Client) Reset() {
-	c.do(func() {
-		if c.wire != nil {
-			c.wire.close()
+	c.post(func() {
+		if c.association != nil {
+			c.association.close()
 		}
 	})
 }
 
-// StopRedials ends all redialling, at the end of a day.
-func (c *Client) StopRedials() { c.do(func() { c.stopped = true }) }
+// StopRedials stops redials and new calls, at the end of a scenario.
+func (c *Client) StopRedials() { c.post(func() { c.callsStopped = true }) }
 
-// Offer makes a call.
-func (c *Client) Offer(call Call) { c.do(func() { c.try(call) }) }
+// Offer starts a call.
+func (c *Client) Offer(call Call) { c.post(func() { c.attempt(call) }) }
 
 func (c *Client) connect() {
 	defer c.wg.Done()
@@ -157,8 +157,8 @@
 		conn, err := c.net.Dial(ctx, c.cfg.Addr)
 		cancel()
 		if err == nil {
-			w := newWire(c.net, conn, c.cfg.Controller, c.cfg.Controller)
-			c.serve(w)
+			assoc := newAssociation(c.net, conn, c.cfg.Controller, c.cfg.Controller)
+			c.serve(assoc)
 		}
 		select {
 		case <-c.quit:
@@ -168,9 +168,9 @@
 	}
 }
 
-// serve plays the application server's end of the association.
-func (c *Client) serve(w *wire) {
-	defer w.close()
+// serve runs the application server process (ASP) side of the association until the connection ends.
+func (c *Client) serve(assoc *association) {
+	defer assoc.close()
 	stop := make(chan struct{})
 	defer close(stop)
 	c.wg.Add(2)
@@ -178,72 +178,72 @@
 		defer c.wg.Done()
 		select {
 		case <-c.quit:
-			w.close()
+			assoc.close()
 		case <-stop:
 		}
 	}()
-	go func() { defer c.wg.Done(); w.writer() }()
-	w.sendMessage(&m3ua.Message{Kind: m3ua.ASPUP, HasASPID: true, ASPID: c.cfg.PC})
-	w.reader(func(f []byte) bool {
-		var m m3ua.Message
-		if m3ua.Decode(f, &m) != nil {
+	go func() { defer c.wg.Done(); assoc.writeLoop() }()
+	assoc.sendMessage(&m3ua.Message{Kind: m3ua.ASPUP, HasASPID: true, ASPID: c.cfg.PC})
+	assoc.readLoop(func(frame []byte) bool {
+		var msg m3ua.Message
+		if m3ua.Decode(frame, &msg) != nil {
 			return true
 		}
-		switch m.Kind {
+		switch msg.Kind {
 		case m3ua.ASPUPAck:
-			w.sendMessage(&m3ua.Message{Kind: m3ua.ASPAC, Traffic: m3ua.TrafficLoadshare})
+			assoc.sendMessage(&m3ua.Message{Kind: m3ua.ASPAC, Traffic: m3ua.TrafficLoadshare})
 		case m3ua.ASPACAck:
-			w.opened(c.net.Log.Open(record.ClientLink, c.cfg.Controller, 0))
-			c.do(func() { c.wire = w })
+			assoc.recordOpened(c.net.Log.Open(record.ClientLink, c.cfg.Controller, 0))
+			c.post(func() { c.association = assoc })
 		case m3ua.BEAT:
-			w.sendMessage(&m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: m.Heartbeat})
+			assoc.sendMessage(&m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: msg.Heartbeat})
 		case m3ua.DATA:
-			c.do(func() { c.take(w, f) })
+			c.post(func() { c.handleFrame(assoc, frame) })
 		}
 		return true
 	})
-	c.do(func() {
-		if c.wire == w {
-			c.lose()
+	c.post(func() {
+		if c.association == assoc {
+			c.associationLost()
 		}
 	})
 }
 
-// lose drops all calls with the connection; those who waited or talked dial again.
-func (c *Client) lose() {
-	c.wire = nil
-	for cic, k := range c.calls {
-		k.timer.Stop()
+// associationLost drops all calls of the lost association. Callers of pending and established calls redial.
+func (c *Client) associationLost() {
+	c.association = nil
+	for cic, call := range c.calls {
+		call.timer.Stop()
 		delete(c.calls, cic)
-		if k.state != clReleasing {
-			c.again(k.Call)
+		if call.state != clientCallReleasing {
+			c.redial(call.Call)
 		}
 	}
 }
 
-// again dials a call once more, if its caller still wants it.
-func (c *Client) again(call Call) {
-	if call.Redials <= 0 || c.stopped {
+// redial schedules another attempt of a call if it has redials left.
+func (c *Client) redial(call Call) {
+	if call.Redials <= 0 || c.callsStopped {
 		return
 	}
 	call.Redials--
-	wait := time.Duration(float64(call.RedialAfter) * (0.5 + c.rng.Float64()))
-	time.AfterFunc(wait, func() { c.do(func() { c.try(call) }) })
+	delay := time.Duration(float64(call.RedialAfter) * (0.5 + c.rng.Float64()))
+	time.AfterFunc(delay, func() { c.post(func() { c.attempt(call) }) })
 }
 
-func (c *Client) send(m *isup.Message) {
-	if c.wire != nil {
-		c.wire.data(c.cfg.PC, c.cfg.Controller, m)
+func (c *Client) send(msg *isup.Message) {
+	if c.association != nil {
+		c.association.sendISUP(c.cfg.PC, c.cfg.Controller, msg)
 	}
 }
 
-func (c *Client) try(call Call) {
-	if c.stopped {
+func (c *Client) attempt(call Call) {
+	if c.callsStopped {
 		return
 	}
-	if c.wire == nil {
+	if c.association == nil {
 		c.Counts.NotConnected++
-		c.again(call)
+		c.redial(call)
 		return
 	}
 	cic := uint16(0)
@@ -260,108 +260,108 @@
 	}
 	called, err := isup.ParseNumber(4, call.Called)
 	if err != nil {
-		panic(fmt.Sprintf("emulator: called number %q", call.Called))
+		panic(fmt.Sprintf("emulator: invalid called number %q", call.Called))
 	}
 	calling, err := isup.ParseNumber(4, call.Calling)
 	if err != nil {
-		panic(fmt.Sprintf("emulator: calling number %q", call.Calling))
+		panic(fmt.Sprintf("emulator: invalid calling number %q", call.Calling))
 	}
 	c.nextRef++
-	k := &clCall{Call: call, cic: cic}
-	c.calls[cic] = k
+	newCall := &clientCall{Call: call, cic: cic}
+	c.calls[cic] = newCall
 	c.Counts.Tries++
 	c.send(&isup.Message{Type: isup.IAM, CIC: cic, Category: call.Category, Medium: 3, Forward: 0x2060, Called: called, HasCalling: true, Calling: calling,
 		HasRef: true, Ref: isup.CallReference{ID: c.nextRef, PC: uint16(c.cfg.PC)}})
-	k.timer = time.AfterFunc(call.Patience, func() {
-		c.do(func() {
-			if c.calls[cic] == k && k.state == clWaiting && !k.rings {
+	newCall.timer = time.AfterFunc(call.Patience, func() {
+		c.post(func() {
+			if c.calls[cic] == newCall && newCall.state == clientCallPending && !newCall.alerted {
 				c.Counts.Abandoned++
-				c.leave(k, isup.CauseNormal)
-				c.again(k.Call)
+				c.release(newCall, isup.CauseNormal)
+				c.redial(newCall.Call)
 			}
 		})
 	})
 }
 
-// ringing lets a call ring as long as its caller likes.
-func (c *Client) ringing(k *clCall) {
-	k.rings = true
+// alert marks a call as alerted and limits how long it may ring.
+func (c *Client) alert(call *clientCall) {
+	call.alerted = true
 	c.Counts.Alerted++
-	k.timer.Stop()
-	if k.Ring <= 0 {
-		k.Ring = time.Minute
+	call.timer.Stop()
+	if call.Ring <= 0 {
+		call.Ring = time.Minute
 	}
-	k.timer = time.AfterFunc(k.Ring, func() {
-		c.do(func() {
-			if c.calls[k.cic] == k && k.state == clWaiting {
+	call.timer = time.AfterFunc(call.Ring, func() {
+		c.post(func() {
+			if c.calls[call.cic] == call && call.state == clientCallPending {
 				c.Counts.AbandonedRinging++
-				c.leave(k, isup.CauseNormal)
+				c.release(call, isup.CauseNormal)
 			}
 		})
 	})
 }
 
-// leave sends REL and takes the circuit back after RLC, or 4 s long.
-func (c *Client) leave(k *clCall, cause isup.Cause) {
-	k.state = clReleasing
-	k.timer.Stop()
-	c.send(&isup.Message{Type: isup.REL, CIC: k.cic, Cause: cause, Location: isup.LocationUser})
-	k.timer = time.AfterFunc(4*time.Second, func() {
-		c.do(func() {
-			if c.calls[k.cic] == k {
-				delete(c.calls, k.cic)
+// release sends REL. The circuit is free again after RLC, or after 4 s without one.
+func (c *Client) release(call *clientCall, cause isup.Cause) {
+	call.state = clientCallReleasing
+	call.timer.Stop()
+	c.send(&isup.Message{Type: isup.REL, CIC: call.cic, Cause: cause, Location: isup.LocationUser})
+	call.timer = time.AfterFunc(4*time.Second, func() {
+		c.post(func() {
+			if c.calls[call.cic] == call {
+				delete(c.calls, call.cic)
 			}
 		})
 	})
 }
 
-func (c *Client) take(w *wire, f []byte) {
-	var m m3ua.Message
-	var u isup.Message
-	if c.wire != w || m3ua.Decode(f, &m) != nil || isup.Decode(m.Data.User, &u) != nil {
+func (c *Client) handleFrame(assoc *association, frame []byte) {
+	var msg m3ua.Message
+	var isupMsg isup.Message
+	if c.association != assoc || m3ua.Decode(frame, &msg) != nil || isup.Decode(msg.Data.User, &isupMsg) != nil {
 		return
 	}
-	k := c.calls[u.CIC]
-	switch u.Type {
+	call := c.calls[isupMsg.CIC]
+	switch isupMsg.Type {
 	case isup.ACM, isup.CPG:
-		if k != nil && k.state == clWaiting && !k.rings {
-			c.ringing(k)
+		if call != nil && call.state == clientCallPending && !call.alerted {
+			c.alert(call)
 		}
 	case isup.ANM, isup.CON:
-		if k == nil || k.state != clWaiting {
+		if call == nil || call.state != clientCallPending {
 			return
 		}
 		c.Counts.Answered++
-		k.state = clStanding
-		k.timer.Stop()
-		k.timer = time.AfterFunc(k.Hold, func() {
-			c.do(func() {
-				if c.calls[k.cic] == k && k.state == clStanding {
-					c.leave(k, isup.CauseNormal)
+		call.state = clientCallEstablished
+		call.timer.Stop()
+		call.timer = time.AfterFunc(call.Hold, func() {
+			c.post(func() {
+				if c.calls[call.cic] == call && call.state == clientCallEstablished {
+					c.release(call, isup.CauseNormal)
 				}
 			})
 		})
 	case isup.REL:
-		c.send(&isup.Message{Type: isup.RLC, CIC: u.CIC})
-		if k == nil || k.state == clReleasing {
+		c.send(&isup.Message{Type: isup.RLC, CIC: isupMsg.CIC})
+		if call == nil || call.state == clientCallReleasing {
 			return
 		}
-		k.timer.Stop()
-		delete(c.calls, u.CIC)
+		call.timer.Stop()
+		delete(c.calls, isupMsg.CIC)
 		switch {
-		case k.state == clWaiting:
+		case call.state == clientCallPending:
 			c.Counts.Refused++
-			if !k.rings || u.Cause != isup.CauseNoAnswer { // nobody is there: no use to dial again at once
-				c.again(k.Call)
+			if !call.alerted || isupMsg.Cause != isup.CauseNoAnswer { // the called party does not answer: an immediate redial would be of no use
+				c.redial(call.Call)
 			}
-		case u.Cause != isup.CauseNormal:
+		case isupMsg.Cause != isup.CauseNormal:
 			c.Counts.Cut++
-			c.again(k.Call)
+			c.redial(call.Call)
 		}
 	case isup.RLC:
-		if k != nil && k.state == clReleasing {
-			k.timer.Stop()
-			delete(c.calls, u.CIC)
+		if call != nil && call.state == clientCallReleasing {
+			call.timer.Stop()
+			delete(c.calls, isupMsg.CIC)
 		}
 	}
 }
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -1,6 +1,6 @@
-// Package emulator plays the world around call controllers on sockets: switches with a processor, trunk groups and
-// subscribers, and clients with callers. They speak M3UA and ISUP, share only the codecs with what they test, and record
-// every frame. All that goes wrong on a day is done here.
+// Package emulator emulates the peers of call controllers on sockets: switches with a processor, trunk groups and
+// subscribers, and clients with callers. They speak M3UA and ISUP, share only the codecs with the controller under test,
+// and record every frame. The faults of a scenario are injected here.
 package emulator
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/umbergauge/umbergauge/record"
 )
 
-// Network is what lies between exchanges: how long messages take, and who cannot reach whom. Frames on a cut way wait, as a
-// transport that repeats what is lost makes them.
+// Network emulates the signalling network between exchanges: its delays and its cut paths. Frames on a cut path are held back
+// until the path is restored, as with a transport that retransmits lost data.
 type Network struct {
 	Listen func(addr string) (net.Listener, error)
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Log    *record.Log
-	// FrameFaults, if set, is asked about each frame that passes a socket; fromController tells its direction. It is called from
-	// many goroutines.
+	// FrameFaults, if set, selects the fault of each frame on an active association; fromController is true for a frame that the
+	// controller sent. It is called from many goroutines.
 	FrameFaults func(k record.LinkKind, fromController bool, frame []byte) FrameFault
 
 	mu    sync.Mutex
@@ -30,65 +30,68 @@
 	cut   map[[2]uint32]int
 }
 
-// FrameFault is what befalls a frame.
+// FrameFault is a fault injected at one frame.
 type FrameFault uint8
 
-// The faults.
+// The frame faults.
 const (
-	Pass        FrameFault = iota
-	ResetBefore            // the connection breaks and the frame is lost
-	ResetAfter             // the frame passes, then the connection breaks
+	Pass        FrameFault = iota // no fault
+	ResetBefore                   // the connection is reset and the frame is lost
+	ResetAfter                    // the frame is delivered, then the connection is reset
 )
 
-// SetDelay sets the one-way time between exchanges.
+// SetDelay sets the function that returns the one-way delay between two exchanges.
 func (n *Network) SetDelay(f func(a, b uint32) time.Duration) {
 	n.mu.Lock()
 	n.delay = f
 	n.mu.Unlock()
 }
 
-// Cut cuts or restores the way between two exchanges, both directions.
+// Cut cuts the path between two exchanges in both directions, or restores it. Cuts are counted: as many calls with on set to
+// false restore the path.
 func (n *Network) Cut(a, b uint32, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cut == nil {
 		n.cut = map[[2]uint32]int{}
 	}
-	k := [2]uint32{min(a, b), max(a, b)}
+	key := [2]uint32{min(a, b), max(a, b)}
 	if on {
-		n.cut[k]++
-	} else if n.cut[k]--; n.cut[k] <= 0 {
-		delete(n.cut, k)
+		n.cut[key]++
+	} else if n.cut[key]--; n.cut[key] <= 0 {
+		delete(n.cut, key)
 	}
 }
 
-func (n *Network) way(a, b uint32) (time.Duration, bool) {
+// path returns the one-way delay between two exchanges and whether their path is cut.
+func (n *Network) path(a, b uint32) (time.Duration, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	d := time.Duration(0)
+	latency := time.Duration(0)
 	if n.delay != nil {
-		d = n.delay(a, b)
+		latency = n.delay(a, b)
 	}
-	return d, n.cut[[2]uint32{min(a, b), max(a, b)}] > 0
+	return latency, n.cut[[2]uint32{min(a, b), max(a, b)}] > 0
 }
 
-// flight is a frame between two exchanges.
-type flight struct {
-	due  time.Time
-	data []byte
+// delayedFrame is a frame on its path between two exchanges, due at its destination at a given time.
+type delayedFrame struct {
+	due   time.Time
+	frame []byte
 }
 
-// carry hands frames on after the time that the way takes, in order, until in is closed or done.
-func (w *wire) carry(in <-chan flight, done <-chan struct{}, give func([]byte) bool) {
+// deliverDelayed passes queued frames to handle in order, each when it is due and its path is not cut. It returns when queue or
+// done is closed or handle returns false.
+func (a *association) deliverDelayed(queue <-chan delayedFrame, done <-chan struct{}, handle func([]byte) bool) {
 	for {
 		select {
-		case f, ok := <-in:
+		case next, ok := <-queue:
 			if !ok {
 				return
 			}
 			for {
-				wait := time.Until(f.due)
-				if _, cut := w.net.way(w.here, w.there.Load()); cut {
+				wait := time.Until(next.due)
+				if _, cut := a.net.path(a.endExchange, a.controllerExchange.Load()); cut {
 					wait = max(wait, 10*time.Millisecond)
 				} else if wait <= 0 {
 					break
@@ -99,7 +102,7 @@
 					return
 				}
 			}
-			if !give(f.data) {
+			if !handle(next.frame) {
 				return
 			}
 		case <-done:
@@ -108,139 +111,142 @@
 	}
 }
 
-// wire is one connection of a stand-in, that of a switch or a client.
-type wire struct {
-	net   *Network
-	conn  net.Conn
-	here  uint32        // exchange of the stand-in, for the way
-	there atomic.Uint32 // exchange of the controller
-	link  int32         // in the record; -1 until traffic may flow
-	out   chan flight
-	done  chan struct{}
-	once  sync.Once
-	mu    sync.Mutex
+// association is the emulated end of one connection, at a switch or a client.
+type association struct {
+	net                *Network
+	conn               net.Conn
+	endExchange        uint32        // exchange of the emulated switch or client, an end of the path
+	controllerExchange atomic.Uint32 // exchange of the controller, the other end of the path
+	linkID             int32         // number of the link in the recording; -1 until the association is active
+	outgoing           chan delayedFrame
+	done               chan struct{}
+	once               sync.Once
+	mu                 sync.Mutex
 }
 
-const wireQueue = 8192
+// frameQueueSize is the number of frames that may wait in each direction of an association.
+const frameQueueSize = 8192
 
-func newWire(n *Network, conn net.Conn, here, there uint32) *wire {
-	w := &wire{net: n, conn: conn, here: here, link: -1, out: make(chan flight, wireQueue), done: make(chan struct{})}
-	w.there.Store(there)
-	return w
+func newAssociation(network *Network, conn net.Conn, endExchange, controllerExchange uint32) *association {
+	assoc := &association{net: network, conn: conn, endExchange: endExchange, linkID: -1, outgoing: make(chan delayedFrame, frameQueueSize), done: make(chan struct{})}
+	assoc.controllerExchange.Store(controllerExchange)
+	return assoc
 }
 
-// close ends the wire and its record.
-func (w *wire) close() {
-	w.once.Do(func() {
-		close(w.done)
-		w.conn.Close()
-		w.closed()
+// close closes the connection and records its end.
+func (a *association) close() {
+	a.once.Do(func() {
+		close(a.done)
+		a.conn.Close()
+		a.recordClosed()
 	})
 }
 
-// closed notes the end of the connection in the record.
-func (w *wire) closed() {
-	w.mu.Lock()
-	link := w.link
-	w.mu.Unlock()
-	if link >= 0 {
-		w.net.Log.Close(link)
+// recordClosed records the end of the connection.
+func (a *association) recordClosed() {
+	a.mu.Lock()
+	linkID := a.linkID
+	a.mu.Unlock()
+	if linkID >= 0 {
+		a.net.Log.Close(linkID)
 	}
 }
 
-func (w *wire) opened(link int32) {
-	w.mu.Lock()
-	w.link = link
-	w.mu.Unlock()
+// recordOpened sets the link under which frames are recorded from now on.
+func (a *association) recordOpened(linkID int32) {
+	a.mu.Lock()
+	a.linkID = linkID
+	a.mu.Unlock()
 }
 
-// send queues a frame; a controller that doesn't read loses its connection.
-func (w *wire) send(frame []byte) {
-	d, _ := w.net.way(w.here, w.there.Load())
+// send queues a frame. If the queue is full because the controller does not read, the connection is closed.
+func (a *association) send(frame []byte) {
+	delay, _ := a.net.path(a.endExchange, a.controllerExchange.Load())
 	select {
-	case w.out <- flight{time.Now().Add(d), frame}:
-	case <-w.done:
+	case a.outgoing <- delayedFrame{time.Now().Add(delay), frame}:
+	case <-a.done:
 	default:
-		w.close()
+		a.close()
 	}
 }
 
-func (w *wire) sendMessage(m *m3ua.Message) { w.send(m3ua.Append(nil, m)) }
+func (a *association) sendMessage(msg *m3ua.Message) { a.send(m3ua.Append(nil, msg)) }
 
-// data sends an ISUP message.
-func (w *wire) data(opc, dpc uint32, m *isup.Message) {
-	w.sendMessage(&m3ua.Message{Kind: m3ua.DATA, HasContext: true, Context: dpc,
-		Data: m3ua.ProtocolData{OPC: opc, DPC: dpc, SI: m3ua.ServiceISUP, NI: 2, SLS: byte(m.CIC & 15), User: isup.Append(nil, m)}})
+// sendISUP sends an ISUP message in a DATA message.
+func (a *association) sendISUP(opc, dpc uint32, msg *isup.Message) {
+	a.sendMessage(&m3ua.Message{Kind: m3ua.DATA, HasContext: true, Context: dpc,
+		Data: m3ua.ProtocolData{OPC: opc, DPC: dpc, SI: m3ua.ServiceISUP, NI: 2, SLS: byte(msg.CIC & 15), User: isup.Append(nil, msg)}})
 }
 
-func (w *wire) fault(link int32, fromController bool, f []byte) FrameFault {
-	if w.net.FrameFaults == nil || link < 0 {
+// frameFault selects the fault to inject at a frame.
+func (a *association) frameFault(linkID int32, fromController bool, frame []byte) FrameFault {
+	if a.net.FrameFaults == nil || linkID < 0 {
 		return Pass
 	}
-	return w.net.FrameFaults(w.net.Log.Kind(link), fromController, f)
-}
-
-// writer writes frames to the socket as they come out of the way.
-func (w *wire) writer() {
-	w.carry(w.out, w.done, func(f []byte) bool {
-		w.mu.Lock()
-		link := w.link
-		w.mu.Unlock()
-		fault := w.fault(link, false, f)
-		if fault == ResetBefore {
-			w.close()
+	return a.net.FrameFaults(a.net.Log.Kind(linkID), fromController, frame)
+}
+
+// writeLoop writes outgoing frames to the socket after their delay.
+func (a *association) writeLoop() {
+	a.deliverDelayed(a.outgoing, a.done, func(frame []byte) bool {
+		a.mu.Lock()
+		linkID := a.linkID
+		a.mu.Unlock()
+		frameFault := a.frameFault(linkID, false, frame)
+		if frameFault == ResetBefore {
+			a.close()
 			return false
 		}
-		if link >= 0 {
-			w.net.Log.Frame(link, false, f)
+		if linkID >= 0 {
+			a.net.Log.Frame(linkID, false, frame)
 		}
-		_, err := w.conn.Write(f)
-		if fault == ResetAfter {
-			w.close()
+		_, err := a.conn.Write(frame)
+		if frameFault == ResetAfter {
+			a.close()
 		}
 		return err == nil
 	})
 }
 
-// reader reads frames from the socket, records them at once, and gives them out of the other end of the way.
-func (w *wire) reader(give func([]byte) bool) {
-	in := make(chan flight, wireQueue)
+// readLoop reads frames from the socket, records them at once, and passes them to handle after their delay.
+func (a *association) readLoop(handle func([]byte) bool) {
+	incoming := make(chan delayedFrame, frameQueueSize)
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		w.carry(in, w.done, give)
+		a.deliverDelayed(incoming, a.done, handle)
 	}()
 	defer wg.Wait()
-	defer close(in)
-	sc := m3ua.NewScanner(w.conn)
+	defer close(incoming)
+	scanner := m3ua.NewScanner(a.conn)
 	for {
-		f, err := sc.Next()
+		frame, err := scanner.Next()
 		if err != nil {
-			w.closed() // what is still on its way may take long on a cut one
+			a.recordClosed() // now, because frames on a cut path may be held back for long
 			return
 		}
-		w.mu.Lock()
-		link := w.link
-		w.mu.Unlock()
-		fault := w.fault(link, true, f)
-		if fault == ResetBefore { // the controller has sent it, and nobody has it
-			w.net.Log.Frame(link, true, f)
-			w.close()
+		a.mu.Lock()
+		linkID := a.linkID
+		a.mu.Unlock()
+		frameFault := a.frameFault(linkID, true, frame)
+		if frameFault == ResetBefore { // recorded as sent by the controller, but not delivered
+			a.net.Log.Frame(linkID, true, frame)
+			a.close()
 			return
 		}
-		if link >= 0 {
-			w.net.Log.Frame(link, true, f)
+		if linkID >= 0 {
+			a.net.Log.Frame(linkID, true, frame)
 		}
-		d, _ := w.net.way(w.here, w.there.Load())
+		delay, _ := a.net.path(a.endExchange, a.controllerExchange.Load())
 		select {
-		case in <- flight{time.Now().Add(d), append([]byte(nil), f...)}:
-		case <-w.done:
+		case incoming <- delayedFrame{time.Now().Add(delay), append([]byte(nil), frame...)}:
+		case <-a.done:
 			return
 		}
-		if fault == ResetAfter {
-			w.conn.Close() // what is on its way still arrives
-			w.closed()
+		if frameFault == ResetAfter {
+			a.conn.Close() // frames already read are still delivered
+			a.recordClosed()
 			return
 		}
 	}
--- a/emulator/processor.go
+++ b/emulator/processor.go
@@ -4,97 +4,100 @@
 	"time"
 )
 
-// processor is a processor with one line: jobs in turn, each for as long as it takes. It is driven by its switch's
-// goroutine.
+// processor emulates a processor that does one job at a time. It is driven by the event loop of its switch.
 type processor struct {
-	first  bool // answers and releases go before new set-ups
-	queues [2][]job
-	ahead  time.Duration // work queued
-	timer  *time.Timer
-	busy   bool
-	hung   bool
-	// instant: jobs take no time, and each is done as it comes.
-	instant bool
-	slow    float64 // takes so many times as long
-	now     job
+	followUpsFirst bool // answers and releases are served before new set-ups
+	queues         [2][]job
+	queuedWork     time.Duration // work of the queued jobs and the current one, at normal speed
+	timer          *time.Timer
+	busy           bool
+	hung           bool
+	// instant: jobs take no time and are done as they arrive.
+	instant  bool
+	slowdown float64 // factor by which each job takes longer
+	current  job
 }
 
+// job is a unit of work for the processor.
 type job struct {
-	queued time.Time
-	work   time.Duration
-	setUp  bool
-	extra  func(waited time.Duration) time.Duration // further work, known when its turn comes
-	done   func()
+	queued    time.Time
+	workTime  time.Duration
+	setUp     bool
+	extraWork func(waited time.Duration) time.Duration // additional work, computed when the job starts
+	done      func()
 }
 
-func newProcessor(first bool) *processor {
+func newProcessor(followUpsFirst bool) *processor {
 	t := time.NewTimer(time.Hour)
 	t.Stop()
-	return &processor{first: first, timer: t, slow: 1}
+	return &processor{followUpsFirst: followUpsFirst, timer: t, slowdown: 1}
 }
 
-// add queues a job.
+// add queues a job and starts it if the processor is free.
 func (p *processor) add(j job) {
 	j.queued = time.Now()
-	q := 0
-	if p.first && j.setUp {
-		q = 1
+	queue := 0
+	if p.followUpsFirst && j.setUp {
+		queue = 1
 	}
-	p.queues[q] = append(p.queues[q], j)
-	p.ahead += j.work
-	p.next()
+	p.queues[queue] = append(p.queues[queue], j)
+	p.queuedWork += j.workTime
+	p.startNext()
 }
 
-// wait is how long a set-up that comes now would wait.
-func (p *processor) wait() time.Duration { return time.Duration(float64(p.ahead) * p.slow) }
+// setUpDelay is how long a set-up that arrives now would wait for the processor.
+func (p *processor) setUpDelay() time.Duration {
+	return time.Duration(float64(p.queuedWork) * p.slowdown)
+}
 
-// next starts the next job if the processor is free.
-func (p *processor) next() {
+// startNext starts the next job if the processor is free.
+func (p *processor) startNext() {
 	if p.busy || p.hung {
 		return
 	}
-	for q := range p.queues {
-		if len(p.queues[q]) == 0 {
+	for queue := range p.queues {
+		if len(p.queues[queue]) == 0 {
 			continue
 		}
-		p.now = p.queues[q][0]
-		p.queues[q] = p.queues[q][1:]
-		work := p.now.work
-		if p.now.extra != nil {
-			work += p.now.extra(time.Since(p.now.queued))
+		p.current = p.queues[queue][0]
+		p.queues[queue] = p.queues[queue][1:]
+		workTime := p.current.workTime
+		if p.current.extraWork != nil {
+			workTime += p.current.extraWork(time.Since(p.current.queued))
 		}
 		p.busy = true
 		if p.instant {
-			p.finish()
+			p.finishCurrent()
 			return
 		}
-		p.timer.Reset(max(0, time.Duration(float64(work)*p.slow)))
+		p.timer.Reset(max(0, time.Duration(float64(workTime)*p.slowdown)))
 		return
 	}
 }
 
-// finish is called when the timer has run out.
-func (p *processor) finish() {
+// finishCurrent completes the current job when its timer has expired.
+func (p *processor) finishCurrent() {
 	if !p.busy {
 		return
 	}
 	p.busy = false
-	p.ahead -= p.now.work
-	done := p.now.done
-	p.now = job{}
+	p.queuedWork -= p.current.workTime
+	done := p.current.done
+	p.current = job{}
 	if done != nil {
 		done()
 	}
-	p.next()
+	p.startNext()
 }
 
-func (p *processor) hang(on bool) {
+// setHung stops the processor before its next job, or lets it continue.
+func (p *processor) setHung(on bool) {
 	p.hung = on
-	p.next()
+	p.startNext()
 }
 
-// clear forgets all jobs.
+// clear drops all jobs and resets the processor to normal speed.
 func (p *processor) clear() {
 	p.timer.Stop()
-	p.queues, p.ahead, p.busy, p.hung, p.slow, p.now = [2][]job{}, 0, false, false, 1, job{}
+	p.queues, p.queuedWork, p.busy, p.hung, p.slowdown, p.current = [2][]job{}, 0, false, false, 1, job{}
 }
--- a/emulator/subscriber.go
+++ b/emulator/subscriber.go
@@ -7,67 +7,70 @@
 	"time"
 )
 
-// Ringing is how the numbers of a class take calls.
+// Ringing describes how the called numbers of a class respond to calls.
 type Ringing struct {
-	Median   time.Duration `yaml:"median"`    // from ACM to ANM; 0: they answer at once
-	Spread   float64       `yaml:"spread"`    // sigma of the log-normal distribution around it; 0: always the median
-	NoAnswer float64       `yaml:"no_answer"` // share that rings and is never answered
-	Busy     float64       `yaml:"busy"`      // share found busy
+	Median   time.Duration `yaml:"median"`    // time from ACM to ANM; 0: calls are answered at once
+	Spread   float64       `yaml:"spread"`    // sigma of the log-normal distribution of that time; 0: always the median
+	NoAnswer float64       `yaml:"no_answer"` // share of calls that ring and are never answered
+	Busy     float64       `yaml:"busy"`      // share of calls that find the subscriber busy
 }
 
-// Check says what is wrong with it, or nil.
+// Check returns an error for a value out of range.
 func (r Ringing) Check() error {
 	switch {
 	case r.Median < 0 || r.Median > 5*time.Minute:
-		return fmt.Errorf("a median of %v; 0 to 5m can be", r.Median)
+		return fmt.Errorf("median %v out of range [0, 5m]", r.Median)
 	case r.Spread < 0 || r.Spread > 3:
-		return fmt.Errorf("a spread of %v; 0 to 3 can be", r.Spread)
+		return fmt.Errorf("spread %v out of range [0, 3]", r.Spread)
 	case r.NoAnswer < 0 || r.Busy < 0 || r.NoAnswer+r.Busy > 1:
-		return fmt.Errorf("no_answer %v and busy %v; shares of one whole can be", r.NoAnswer, r.Busy)
+		return fmt.Errorf("no_answer %v and busy %v: shares must not be negative or add up to more than 1", r.NoAnswer, r.Busy)
 	}
 	return nil
 }
 
-// subscriber is what one call meets.
-type subscriber struct {
-	busy, silent bool
-	after        time.Duration // till ANM
+// calledParty is the response of the called subscriber to one call.
+type calledParty struct {
+	busy, noAnswer bool
+	after          time.Duration // from ACM to ANM
 }
 
-func (r Ringing) draw(rng *rand.Rand) (s subscriber) {
+// draw draws the response to one call.
+func (r Ringing) draw(rng *rand.Rand) (party calledParty) {
 	switch x := rng.Float64(); {
 	case x < r.Busy:
-		s.busy = true
+		party.busy = true
 	case x < r.Busy+r.NoAnswer:
-		s.silent = true
+		party.noAnswer = true
 	default:
-		s.after = r.Median
+		party.after = r.Median
 		if r.Spread > 0 {
-			s.after = time.Duration(float64(r.Median) * math.Exp(r.Spread*rng.NormFloat64()))
+			party.after = time.Duration(float64(r.Median) * math.Exp(r.Spread*rng.NormFloat64()))
 		}
 	}
-	return s
+	return party
 }
 
-// CallFault is a kind of fault that befalls single set-ups at a switch that is otherwise well.
+// CallFault is a kind of fault of single set-ups at an otherwise healthy switch.
 type CallFault uint8
 
-// The kinds.
+// The kinds of call faults.
 const (
-	CallFaultFull     CallFault = iota // turned away as if its processor were full: cause 42
-	CallFaultSilent                    // taken and never answered
-	CallFaultReset                     // the circuit is reset (RSC)
+	CallFaultFull     CallFault = iota // rejected with cause 42, as if the processor were overloaded
+	CallFaultSilent                    // accepted and never answered
+	CallFaultReset                     // the switch resets the circuit (RSC)
 	CallFaultReleased                  // released with cause 41
-	thinKinds
+	callFaultKinds
 )
 
-// SetCallFault sets the share of set-ups that a kind of fault befalls.
-func (s *Switch) SetCallFault(kind CallFault, share float64) { s.do(func() { s.thin[kind] = share }) }
+// SetCallFault sets the share of set-ups that fail with a kind of fault.
+func (s *Switch) SetCallFault(kind CallFault, share float64) {
+	s.post(func() { s.callFaultShares[kind] = share })
+}
 
-// thinFault draws whether a set-up meets a thin fault.
-func (s *Switch) thinFault() (CallFault, bool) {
+// drawCallFault draws whether a set-up fails with a call fault, and with which kind.
+func (s *Switch) drawCallFault() (CallFault, bool) {
 	x := -1.0
-	for k, share := range s.thin {
+	for k, share := range s.callFaultShares {
 		if share <= 0 {
 			continue
 		}
--- a/emulator/switch.go
+++ b/emulator/switch.go
@@ -14,35 +14,35 @@
 	"github.com/umbergauge/umbergauge/record"
 )
 
-// SwitchConfig is one stand-in switch.
+// SwitchConfig configures one emulated switch.
 type SwitchConfig struct {
-	PC       uint32
-	Prefixes []string       // numbers of its subscribers
-	Circuits map[uint32]int // trunk groups by far exchange
+	PC       uint32         // point code of the switch and of its exchange
+	Prefixes []string       // number prefixes of its subscribers
+	Circuits map[uint32]int // circuits of each trunk group, by far exchange
 	Seed     uint64
 
-	Rate          float64       // set-ups a second that the warm processor can take; 0: any number
-	FollowWork    float64       // work of an answer or a release, in set-ups
-	RejectWork    float64       // work of turning a set-up away, in set-ups
-	FullAfter     time.Duration // set-ups are turned away once they would wait so long
-	AnswersFirst  bool          // answers and releases go before new set-ups
-	Repeat        time.Duration // a set-up that waits is sent again after this and at doubling gaps; 0: never
-	RepeatWork    float64       // work of a repeat, in set-ups
-	DropAbandoned bool          // a set-up given up by its sender costs nothing; else it is worked on
-	Ring          time.Duration // between ACM and ANM, of categories that Ringing lacks
+	Rate          float64       // set-ups a second that the processor can handle when warm; 0: unlimited
+	FollowWork    float64       // work of an answer or a release, relative to a set-up
+	RejectWork    float64       // work of rejecting a set-up, relative to a set-up
+	FullAfter     time.Duration // set-ups are rejected if they would wait longer than this for the processor; 0: never
+	AnswersFirst  bool          // answers and releases are served before new set-ups
+	Repeat        time.Duration // a set-up that waits is retransmitted after this and then at doubling intervals; 0: never
+	RepeatWork    float64       // work of a retransmission, relative to a set-up
+	DropAbandoned bool          // a set-up already released by its sender costs no work; otherwise its work is done all the same
+	Ring          time.Duration // time from ACM to ANM of categories that are not in Ringing
 	Ringing       map[isup.Category]Ringing
-	EarlyACM      bool          // it says ACM as soon as it has read the IAM, and does the work after that
-	HangUp        float64       // share of calls that the called side ends ...
-	Hold          time.Duration // ... after this on average
-	Lines         map[string]int
+	EarlyACM      bool           // ACM is sent when the IAM is read, before the work of the set-up
+	HangUp        float64        // share of answered calls that the called side releases
+	Hold          time.Duration  // mean time from answer to that release
+	Lines         map[string]int // limit of lines in use, by number
 
-	ColdShare     float64 // of its capacity right after a cold start, growing to the whole ...
-	WarmUp        time.Duration
-	CrashMultiple float64 // sent this multiple of its present capacity ...
-	CrashSpan     time.Duration
+	ColdShare     float64       // share of the capacity available right after a cold start
+	WarmUp        time.Duration // time over which the capacity grows linearly to the whole
+	CrashMultiple float64       // a cold switch crashes when it receives more than this multiple of its current capacity; 0: never
+	CrashSpan     time.Duration // span over which those set-ups are counted
 }
 
-// Switch is one stand-in switch. Its methods may be called from any goroutine.
+// Switch is one emulated switch. Its methods may be called from any goroutine.
 type Switch struct {
 	cfg SwitchConfig
 	net *Network
@@ -51,69 +51,72 @@
 	quit   chan struct{}
 	wg     sync.WaitGroup
 
-	// Of the event goroutine from here on.
-	rng      *rand.Rand
-	proc     *processor
-	listener net.Listener
-	up       bool
-	cold     bool
-	started  time.Time
-	dead     bool // pushed over: it does not come back
-	gen      int  // of starts
-	wires    map[uint32]*wire
-	own      *wire
-	calls    map[circuitKey]*swCall
-	lines    map[string]int
-	list     map[uint32]m3ua.Kind // what the register has told it, for its controller
-	lost     map[uint32][]uint16  // circuits out of service, by far exchange
-	recent   []time.Time          // set-ups received while cold
-	thin     [thinKinds]float64
-	ageing   *time.Ticker
-}
-
+	// The fields below are used only by the event loop.
+	rng             *rand.Rand
+	proc            *processor
+	listener        net.Listener
+	up              bool
+	cold            bool
+	started         time.Time
+	crashed         bool                    // crashed by load after a cold start; it cannot be started again
+	generation      int                     // changes at each start and stop, which invalidates pending timers
+	assocs          map[uint32]*association // by exchange of the controller
+	ownAssoc        *association            // to the controller of its own exchange
+	calls           map[circuitKey]*switchCall
+	linesInUse      map[string]int       // by called number
+	exchangeStatus  map[uint32]m3ua.Kind // last status of other exchanges sent with SendStatus, for answers to DAUD
+	lostCircuits    map[uint32][]uint16  // circuits out of service, by far exchange
+	recentSetUps    []time.Time          // arrival times of set-ups within CrashSpan while cold
+	callFaultShares [callFaultKinds]float64
+	degradeTicker   *time.Ticker
+}
+
+// circuitKey identifies a circuit by the far exchange of its trunk group and its CIC.
 type circuitKey struct {
 	far uint32
 	cic uint16
 }
 
-type swState uint8
+// switchCallState is the state of an incoming call at a switch.
+type switchCallState uint8
 
 const (
-	swQueued  swState = iota // the set-up waits for the processor
-	swRinging                // set up, or handed on
-	swAnswered
-	swReleasing // REL sent, RLC awaited
+	switchCallQueued     switchCallState = iota // the set-up waits for the processor
+	switchCallProceeding                        // the set-up has reached the subscriber, or was passed to the own controller for transit
+	switchCallAnswered
+	switchCallReleasing // REL sent, RLC awaited
 )
 
-type swCall struct {
-	key     circuitKey
-	iam     isup.Message
-	state   swState
-	gone    bool // released by its caller
-	leaving bool // ... and the own controller has yet to answer that
-	transit bool
-	line    string
+// switchCall is an incoming call at a switch.
+type switchCall struct {
+	key          circuitKey
+	iam          isup.Message
+	state        switchCallState
+	cleared      bool // released by its caller, or dropped
+	awaitsOwnRLC bool // the caller's REL was passed to the own controller, whose RLC has not arrived yet
+	transit      bool
+	calledNumber string
 }
 
-// NewSwitch makes a switch that is not started yet.
+// NewSwitch creates a switch, which takes calls after Start.
 func NewSwitch(n *Network, cfg SwitchConfig) *Switch {
 	s := &Switch{cfg: cfg, net: n, events: make(chan func(), 4096), quit: make(chan struct{}),
-		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.PC))), proc: newProcessor(cfg.AnswersFirst), wires: map[uint32]*wire{},
-		calls: map[circuitKey]*swCall{}, lines: map[string]int{}, list: map[uint32]m3ua.Kind{}, lost: map[uint32][]uint16{}}
+		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.PC))), proc: newProcessor(cfg.AnswersFirst), assocs: map[uint32]*association{},
+		calls: map[circuitKey]*switchCall{}, linesInUse: map[string]int{}, exchangeStatus: map[uint32]m3ua.Kind{}, lostCircuits: map[uint32][]uint16{}}
 	s.proc.instant = cfg.Rate <= 0
 	s.wg.Add(1)
-	go s.loop()
+	go s.eventLoop()
 	return s
 }
 
-func (s *Switch) loop() {
+func (s *Switch) eventLoop() {
 	defer s.wg.Done()
 	for {
 		select {
 		case f := <-s.events:
 			f()
 		case <-s.proc.timer.C:
-			s.proc.finish()
+			s.proc.finishCurrent()
 		case <-s.quit:
 			s.stop()
 			return
@@ -121,44 +124,46 @@
 	}
 }
 
-// do runs f in the switch's goroutine.
-func (s *Switch) do(f func()) {
+// post queues f for the event loop.
+func (s *Switch) post(f func()) {
 	select {
 	case s.events <- f:
 	case <-s.quit:
 	}
 }
 
+// after runs f in the event loop after a delay, unless the switch has been stopped or restarted by then.
 func (s *Switch) after(d time.Duration, f func()) {
-	gen := s.gen
+	generation := s.generation
 	time.AfterFunc(d, func() {
-		s.do(func() {
-			if s.gen == gen {
+		s.post(func() {
+			if s.generation == generation {
 				f()
 			}
 		})
 	})
 }
 
-// Close ends the switch.
+// Close stops the switch and waits for its goroutines.
 func (s *Switch) Close() {
 	close(s.quit)
 	s.wg.Wait()
 }
 
-// Start takes the switch into service at an address and returns the address that it got.
+// Start puts the switch into service at an address and returns the address that it listens on. A cold switch begins with a
+// share of its capacity.
 func (s *Switch) Start(addr string, cold bool) (string, error) {
 	l, err := s.net.Listen(addr)
 	if err != nil {
 		return "", err
 	}
-	s.do(func() {
-		if s.up || s.dead {
+	s.post(func() {
+		if s.up || s.crashed {
 			l.Close()
 			return
 		}
 		s.up, s.cold, s.started, s.listener = true, cold, time.Now(), l
-		s.gen++
+		s.generation++
 		s.net.Log.Event(record.Event{Kind: record.Started, PC: s.cfg.PC, Cold: cold, Value: s.cfg.Rate})
 		s.wg.Add(1)
 		go s.accept(l)
@@ -166,150 +171,150 @@
 	return l.Addr().String(), nil
 }
 
-// Stop takes the switch out of service at once: connections break, calls are forgotten.
-func (s *Switch) Stop() { s.do(s.stop) }
+// Stop takes the switch out of service at once: its connections are closed and its calls dropped.
+func (s *Switch) Stop() { s.post(s.stop) }
 
 func (s *Switch) stop() {
 	if !s.up {
 		return
 	}
 	s.up = false
-	s.gen++
+	s.generation++
 	s.listener.Close()
-	for _, w := range s.wires {
-		w.close()
+	for _, assoc := range s.assocs {
+		assoc.close()
 	}
-	clear(s.wires)
-	s.own = nil
+	clear(s.assocs)
+	s.ownAssoc = nil
 	clear(s.calls)
-	clear(s.lines)
-	s.recent = nil
+	clear(s.linesInUse)
+	s.recentSetUps = nil
 	s.proc.clear()
-	if s.ageing != nil {
-		s.ageing.Stop()
-		s.ageing = nil
+	if s.degradeTicker != nil {
+		s.degradeTicker.Stop()
+		s.degradeTicker = nil
 	}
 	s.net.Log.Event(record.Event{Kind: record.Stopped, PC: s.cfg.PC})
 }
 
-// Hang lets the processor take set-ups and answer none.
-func (s *Switch) Hang(on bool) { s.do(func() { s.proc.hang(on) }) }
+// Hang makes the processor hang: set-ups are still accepted, but none is answered. Hang(false) ends this.
+func (s *Switch) Hang(on bool) { s.post(func() { s.proc.setHung(on) }) }
 
-// Slow makes the processor take times as long for everything; 1: as usual.
-func (s *Switch) Slow(times float64) { s.do(func() { s.proc.slow = times }) }
+// Slow multiplies the time that the processor takes for each job; 1 is normal speed.
+func (s *Switch) Slow(times float64) { s.post(func() { s.proc.slowdown = times }) }
 
-// ResetAssociations breaks every connection; the switch itself runs on and keeps its calls.
+// ResetAssociations closes every connection; the switch stays in service and keeps its calls.
 func (s *Switch) ResetAssociations() {
-	s.do(func() {
-		for _, w := range s.wires {
-			w.close()
+	s.post(func() {
+		for _, assoc := range s.assocs {
+			assoc.close()
 		}
 	})
 }
 
-// SendStatus hands the register's word on an exchange to the own controller: DAVA, DRST or DUNA.
-func (s *Switch) SendStatus(k m3ua.Kind, pc uint32) {
-	s.do(func() {
-		s.list[pc] = k
-		if s.up && s.own != nil {
-			s.own.sendMessage(&m3ua.Message{Kind: k, Affected: []m3ua.Affected{{PC: pc}}})
+// SendStatus notifies the own controller of the status of an exchange: DAVA, DRST or DUNA. DAUD is answered with it later.
+func (s *Switch) SendStatus(kind m3ua.Kind, pc uint32) {
+	s.post(func() {
+		s.exchangeStatus[pc] = kind
+		if s.up && s.ownAssoc != nil {
+			s.ownAssoc.sendMessage(&m3ua.Message{Kind: kind, Affected: []m3ua.Affected{{PC: pc}}})
 		}
 	})
 }
 
-// LoseCircuits takes a share of the circuits of the group to an exchange out of service, or all back into it. Calls on
-// them are cut. Both ends must lose the same ones: the highest.
-func (s *Switch) LoseCircuits(far uint32, share float64, on bool) {
-	s.do(func() {
-		n := s.cfg.Circuits[far]
+// LoseCircuits takes a share of the circuits of the trunk group to an exchange out of service, or returns all to service.
+// Calls on them are cut. The circuits with the highest CICs are taken, so that the switches at both ends lose the same ones.
+func (s *Switch) LoseCircuits(far uint32, share float64, lost bool) {
+	s.post(func() {
+		size := s.cfg.Circuits[far]
 		var cics []uint16
-		if on {
-			for cic := n; cic > n-int(share*float64(n)); cic-- {
+		if lost {
+			for cic := size; cic > size-int(share*float64(size)); cic-- {
 				cics = append(cics, uint16(cic))
 			}
 			slices.Sort(cics)
-			s.lost[far] = cics
+			s.lostCircuits[far] = cics
 			for _, cic := range cics {
-				s.forget(circuitKey{far, cic})
+				s.dropCall(circuitKey{far, cic})
 			}
 		} else {
-			cics = s.lost[far]
-			delete(s.lost, far)
+			cics = s.lostCircuits[far]
+			delete(s.lostCircuits, far)
 		}
-		s.blocking(far, cics, on)
+		s.sendGroupSupervision(far, cics, lost)
 	})
 }
 
-// blocking sends CGB or CGU for hardware failure to the far controller.
-func (s *Switch) blocking(far uint32, cics []uint16, on bool) {
-	w := s.wires[far]
-	if w == nil || len(cics) < 2 {
+// sendGroupSupervision sends CGB (blocked) or CGU for hardware failure to the far controller.
+func (s *Switch) sendGroupSupervision(far uint32, cics []uint16, blocked bool) {
+	assoc := s.assocs[far]
+	if assoc == nil || len(cics) < 2 {
 		return
 	}
-	t := isup.CGU
-	if on {
-		t = isup.CGB
+	msgType := isup.CGU
+	if blocked {
+		msgType = isup.CGB
 	}
 	for len(cics) > 0 {
 		first := cics[0]
-		n := min(isup.MaxRange, len(cics))
-		if n == 1 { // a group message names two circuits at the least
-			first, n = first-1, 2
+		count := min(isup.MaxRange, len(cics))
+		if count == 1 { // a circuit group message covers at least two circuits
+			first, count = first-1, 2
 		}
-		m := isup.Message{Type: t, CIC: first, Supervision: isup.Hardware, Range: byte(n - 1), Status: make([]byte, (n+7)/8)}
-		for i := range n {
+		msg := isup.Message{Type: msgType, CIC: first, Supervision: isup.Hardware, Range: byte(count - 1), Status: make([]byte, (count+7)/8)}
+		for i := range count {
 			if slices.Contains(cics, first+uint16(i)) {
-				m.Status[i/8] |= 1 << (i % 8)
+				msg.Status[i/8] |= 1 << (i % 8)
 			}
 		}
-		w.data(s.cfg.PC, far, &m)
+		assoc.sendISUP(s.cfg.PC, far, &msg)
 		cics = cics[min(isup.MaxRange, len(cics)):]
 	}
 }
 
-// CutCalls cuts a share of the standing calls: REL with cause 41.
+// CutCalls releases a share of the established calls with cause 41. Calls in transit are not cut.
 func (s *Switch) CutCalls(share float64) {
-	s.do(func() {
+	s.post(func() {
 		keys := make([]circuitKey, 0, len(s.calls))
-		for k, c := range s.calls {
-			if c.state == swAnswered && !c.transit {
-				keys = append(keys, k)
+		for key, call := range s.calls {
+			if call.state == switchCallAnswered && !call.transit {
+				keys = append(keys, key)
 			}
 		}
 		slices.SortFunc(keys, func(a, b circuitKey) int { return int(a.far)<<16 + int(a.cic) - int(b.far)<<16 - int(b.cic) })
-		for _, k := range keys {
+		for _, key := range keys {
 			if s.rng.Float64() < share {
-				s.release(s.calls[k], isup.CauseTemporary)
+				s.release(s.calls[key], isup.CauseTemporary)
 			}
 		}
 	})
 }
 
-// Degrade makes the processor slower and slower until it dies: after span it takes times as long.
+// Degrade makes the processor slower over span, up to times as slow, and then stops the switch.
 func (s *Switch) Degrade(span time.Duration, times float64) {
-	s.do(func() {
-		begin, gen := time.Now(), s.gen
+	s.post(func() {
+		start, generation := time.Now(), s.generation
 		const step = 200 * time.Millisecond
 		var tick func()
 		tick = func() {
-			if s.gen != gen {
+			if s.generation != generation {
 				return
 			}
-			part := float64(time.Since(begin)) / float64(span)
-			if part >= 1 {
+			progress := float64(time.Since(start)) / float64(span)
+			if progress >= 1 {
 				s.stop()
 				return
 			}
-			s.proc.slow = 1 + part*part*(times-1)
+			s.proc.slowdown = 1 + progress*progress*(times-1)
 			s.after(step, tick)
 		}
 		tick()
 	})
 }
 
-// LimitLines limits the lines of a number; 0 lifts the limit.
+// LimitLines limits the lines in use of a number; 0 removes the limit.
 func (s *Switch) LimitLines(number string, lines int) {
-	s.do(func() {
+	s.post(func() {
 		if s.cfg.Lines == nil {
 			s.cfg.Lines = map[string]int{}
 		}
@@ -321,44 +326,44 @@
 	})
 }
 
-// Established is the number of calls that stand here and are not in transit.
+// Established returns the number of established calls that end at this switch (calls in transit not counted).
 func (s *Switch) Established() int {
-	n := make(chan int, 1)
-	s.do(func() {
-		k := 0
-		for _, c := range s.calls {
-			if c.state == swAnswered && !c.transit {
-				k++
+	result := make(chan int, 1)
+	s.post(func() {
+		count := 0
+		for _, call := range s.calls {
+			if call.state == switchCallAnswered && !call.transit {
+				count++
 			}
 		}
-		n <- k
+		result <- count
 	})
 	select {
-	case k := <-n:
-		return k
+	case count := <-result:
+		return count
 	case <-s.quit:
 		return 0
 	}
 }
 
-// capacity is the share of the processor's speed that it has now.
-func (s *Switch) capacity() float64 {
+// capacityShare is the share of its full capacity that the processor has now, less than 1 after a cold start.
+func (s *Switch) capacityShare() float64 {
 	if !s.cold {
 		return 1
 	}
-	part := float64(time.Since(s.started)) / float64(s.cfg.WarmUp)
-	if part >= 1 {
+	progress := float64(time.Since(s.started)) / float64(s.cfg.WarmUp)
+	if progress >= 1 {
 		return 1
 	}
-	return s.cfg.ColdShare + (1-s.cfg.ColdShare)*part
+	return s.cfg.ColdShare + (1-s.cfg.ColdShare)*progress
 }
 
-// work is a number of set-ups' worth of work, as long as it takes now.
-func (s *Switch) work(setUps float64) time.Duration {
+// workTime is the time that the work of a number of set-ups takes at the current capacity.
+func (s *Switch) workTime(setUps float64) time.Duration {
 	if s.cfg.Rate <= 0 {
 		return 0
 	}
-	return time.Duration(setUps / s.cfg.Rate / s.capacity() * float64(time.Second))
+	return time.Duration(setUps / s.cfg.Rate / s.capacityShare() * float64(time.Second))
 }
 
 func (s *Switch) accept(l net.Listener) {
@@ -373,12 +378,12 @@
 	}
 }
 
-// serve answers one controller: it plays the signalling gateway's end of the association.
+// serve runs the signalling gateway side of the association with one controller until the connection ends.
 func (s *Switch) serve(conn net.Conn) {
 	defer s.wg.Done()
-	// Until the peer has told who it is, its way is not known.
-	w := newWire(s.net, conn, s.cfg.PC, s.cfg.PC)
-	defer w.close()
+	// Until its ASPAC the controller's exchange is not known; the path within the own exchange is used.
+	assoc := newAssociation(s.net, conn, s.cfg.PC, s.cfg.PC)
+	defer assoc.close()
 	stop := make(chan struct{})
 	defer close(stop)
 	s.wg.Add(2)
@@ -386,412 +391,422 @@
 		defer s.wg.Done()
 		select {
 		case <-s.quit:
-			w.close()
+			assoc.close()
 		case <-stop:
 		}
 	}()
-	go func() { defer s.wg.Done(); w.writer() }()
+	go func() { defer s.wg.Done(); assoc.writeLoop() }()
 	var pc uint32
 	active := false
-	w.reader(func(f []byte) bool {
-		var m m3ua.Message
-		if err := m3ua.Decode(f, &m); err != nil {
+	assoc.readLoop(func(frame []byte) bool {
+		var msg m3ua.Message
+		if err := m3ua.Decode(frame, &msg); err != nil {
 			return true
 		}
-		switch m.Kind {
+		switch msg.Kind {
 		case m3ua.ASPUP:
-			pc = m.ASPID
-			w.sendMessage(&m3ua.Message{Kind: m3ua.ASPUPAck})
+			pc = msg.ASPID
+			assoc.sendMessage(&m3ua.Message{Kind: m3ua.ASPUPAck})
 		case m3ua.ASPAC:
 			if active {
 				return true
 			}
 			active = true
-			w.there.Store(pc)
+			assoc.controllerExchange.Store(pc)
 			kind := record.FarLink
 			if pc == s.cfg.PC {
 				kind = record.OwnLink
 			}
-			w.opened(s.net.Log.Open(kind, pc, s.cfg.PC))
-			w.sendMessage(&m3ua.Message{Kind: m3ua.ASPACAck, Traffic: m.Traffic, HasContext: true, Context: m.Context})
-			s.do(func() { s.joined(pc, w) })
+			assoc.recordOpened(s.net.Log.Open(kind, pc, s.cfg.PC))
+			assoc.sendMessage(&m3ua.Message{Kind: m3ua.ASPACAck, Traffic: msg.Traffic, HasContext: true, Context: msg.Context})
+			s.post(func() { s.associationActive(pc, assoc) })
 		case m3ua.BEAT:
-			w.sendMessage(&m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: m.Heartbeat})
+			assoc.sendMessage(&m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: msg.Heartbeat})
 		case m3ua.ASPDN:
-			w.sendMessage(&m3ua.Message{Kind: m3ua.ASPDNAck})
+			assoc.sendMessage(&m3ua.Message{Kind: m3ua.ASPDNAck})
 		case m3ua.DATA, m3ua.DAUD:
-			s.do(func() { s.take(pc, w, f) })
+			s.post(func() { s.handleFrame(pc, assoc, frame) })
 		}
 		return true
 	})
-	s.do(func() {
-		if s.wires[pc] == w {
-			delete(s.wires, pc)
-			if s.own == w {
-				s.own = nil
+	s.post(func() {
+		if s.assocs[pc] == assoc {
+			delete(s.assocs, pc)
+			if s.ownAssoc == assoc {
+				s.ownAssoc = nil
 			}
 		}
 	})
 }
 
-func (s *Switch) joined(pc uint32, w *wire) {
+// associationActive registers an active association, which replaces an earlier one of the same controller.
+func (s *Switch) associationActive(pc uint32, assoc *association) {
 	if !s.up {
-		w.close()
+		assoc.close()
 		return
 	}
-	if old := s.wires[pc]; old != nil && old != w {
-		old.close()
+	if previous := s.assocs[pc]; previous != nil && previous != assoc {
+		previous.close()
 	}
-	s.wires[pc] = w
+	s.assocs[pc] = assoc
 	if pc == s.cfg.PC {
-		s.own = w
-	} else if lost := s.lost[pc]; len(lost) > 0 {
-		s.blocking(pc, lost, true)
+		s.ownAssoc = assoc
+	} else if lostCircuits := s.lostCircuits[pc]; len(lostCircuits) > 0 {
+		s.sendGroupSupervision(pc, lostCircuits, true)
 	}
 }
 
-// take handles one frame of a controller.
-func (s *Switch) take(pc uint32, w *wire, f []byte) {
-	var m m3ua.Message
-	if !s.up || s.wires[pc] != w || m3ua.Decode(f, &m) != nil {
+// handleFrame handles a DATA or DAUD frame of a controller.
+func (s *Switch) handleFrame(pc uint32, assoc *association, frame []byte) {
+	var msg m3ua.Message
+	if !s.up || s.assocs[pc] != assoc || m3ua.Decode(frame, &msg) != nil {
 		return
 	}
-	if m.Kind == m3ua.DAUD {
-		for _, a := range m.Affected {
-			k := s.list[a.PC]
-			if k == 0 {
-				k = m3ua.DAVA
+	if msg.Kind == m3ua.DAUD {
+		for _, affected := range msg.Affected {
+			kind := s.exchangeStatus[affected.PC]
+			if kind == 0 {
+				kind = m3ua.DAVA
 			}
-			w.sendMessage(&m3ua.Message{Kind: k, Affected: []m3ua.Affected{a}})
+			assoc.sendMessage(&m3ua.Message{Kind: kind, Affected: []m3ua.Affected{affected}})
 		}
 		return
 	}
-	var u isup.Message
-	if isup.Decode(m.Data.User, &u) != nil {
+	var isupMsg isup.Message
+	if isup.Decode(msg.Data.User, &isupMsg) != nil {
 		return
 	}
 	if pc == s.cfg.PC {
-		s.fromOwn(m.Data.DPC, &u)
+		s.handleFromOwn(msg.Data.DPC, &isupMsg)
 	} else {
-		s.fromFar(pc, w, &u)
+		s.handleFromFar(pc, assoc, &isupMsg)
 	}
 }
 
-// toOwn passes a message on a circuit to the own controller, as from the far exchange.
-func (s *Switch) toOwn(far uint32, m *isup.Message) {
-	if s.own != nil {
-		s.own.data(far, s.cfg.PC, m)
+// sendToOwn sends a message about a circuit to the own controller, with the far exchange as its origin.
+func (s *Switch) sendToOwn(far uint32, msg *isup.Message) {
+	if s.ownAssoc != nil {
+		s.ownAssoc.sendISUP(far, s.cfg.PC, msg)
 	}
 }
 
-func (s *Switch) toFar(far uint32, m *isup.Message) {
-	if w := s.wires[far]; w != nil {
-		w.data(s.cfg.PC, far, m)
+// sendToFar sends a message about a circuit to the controller of the far exchange.
+func (s *Switch) sendToFar(far uint32, msg *isup.Message) {
+	if assoc := s.assocs[far]; assoc != nil {
+		assoc.sendISUP(s.cfg.PC, far, msg)
 	}
 }
 
-func (s *Switch) serves(number string) bool {
+// servesNumber reports whether a number belongs to a subscriber of this switch.
+func (s *Switch) servesNumber(number string) bool {
 	return slices.ContainsFunc(s.cfg.Prefixes, func(p string) bool { return strings.HasPrefix(number, p) })
 }
 
-func clone(m *isup.Message) isup.Message {
-	c := *m
-	c.Optional = slices.Clone(m.Optional)
+// clone returns a copy of a decoded message that shares no slices with it.
+func clone(msg *isup.Message) isup.Message {
+	c := *msg
+	c.Optional = slices.Clone(msg.Optional)
 	for i := range c.Optional {
 		c.Optional[i].Value = slices.Clone(c.Optional[i].Value)
 	}
-	c.Compat, c.Status, c.Circuits = slices.Clone(m.Compat), slices.Clone(m.Status), slices.Clone(m.Circuits)
+	c.Compat, c.Status, c.Circuits = slices.Clone(msg.Compat), slices.Clone(msg.Status), slices.Clone(msg.Circuits)
 	return c
 }
 
-// fromFar takes a message of another exchange's controller.
-func (s *Switch) fromFar(far uint32, w *wire, m *isup.Message) {
-	key := circuitKey{far, m.CIC}
-	switch m.Type {
+// handleFromFar handles a message of another exchange's controller.
+func (s *Switch) handleFromFar(far uint32, assoc *association, msg *isup.Message) {
+	key := circuitKey{far, msg.CIC}
+	switch msg.Type {
 	case isup.IAM:
-		s.iam(key, m)
+		s.iam(key, msg)
 	case isup.REL:
-		c := s.calls[key]
-		if c == nil {
-			s.toFar(far, &isup.Message{Type: isup.RLC, CIC: m.CIC})
+		call := s.calls[key]
+		if call == nil {
+			s.sendToFar(far, &isup.Message{Type: isup.RLC, CIC: msg.CIC})
 			return
 		}
-		c.gone = true
-		rel := clone(m)
-		s.proc.add(job{work: s.work(s.cfg.FollowWork), done: func() {
-			if s.calls[key] == c {
-				s.toOwn(far, &rel)
-				if c.transit && c.state != swQueued && s.own != nil { // its controller has a part in it, and answers
-					c.leaving = true
-					s.after(4*time.Second, func() { s.left(c) })
+		call.cleared = true
+		rel := clone(msg)
+		s.proc.add(job{workTime: s.workTime(s.cfg.FollowWork), done: func() {
+			if s.calls[key] == call {
+				s.sendToOwn(far, &rel)
+				if call.transit && call.state != switchCallQueued && s.ownAssoc != nil { // RLC is sent when the own controller has released its part of the call too
+					call.awaitsOwnRLC = true
+					s.after(4*time.Second, func() { s.finishTransitRelease(call) })
 					return
 				}
-				s.forget(key)
+				s.dropCall(key)
 			}
-			s.toFar(far, &isup.Message{Type: isup.RLC, CIC: key.cic})
+			s.sendToFar(far, &isup.Message{Type: isup.RLC, CIC: key.cic})
 		}})
 	case isup.RLC:
-		if c := s.calls[key]; c != nil && c.state == swReleasing {
-			s.forget(key)
-			s.toOwn(far, &isup.Message{Type: isup.RLC, CIC: key.cic})
+		if call := s.calls[key]; call != nil && call.state == switchCallReleasing {
+			s.dropCall(key)
+			s.sendToOwn(far, &isup.Message{Type: isup.RLC, CIC: key.cic})
 		}
 	case isup.RSC:
 		s.proc.add(job{done: func() {
-			s.forget(key)
-			s.toOwn(far, &isup.Message{Type: isup.RSC, CIC: key.cic})
-			s.toFar(far, &isup.Message{Type: isup.RLC, CIC: key.cic})
+			s.dropCall(key)
+			s.sendToOwn(far, &isup.Message{Type: isup.RSC, CIC: key.cic})
+			s.sendToFar(far, &isup.Message{Type: isup.RLC, CIC: key.cic})
 		}})
 	case isup.GRS:
-		grs := clone(m)
+		grs := clone(msg)
 		s.proc.add(job{done: func() {
 			for i := 0; i <= int(grs.Range); i++ {
-				s.forget(circuitKey{far, grs.CIC + uint16(i)})
+				s.dropCall(circuitKey{far, grs.CIC + uint16(i)})
 			}
-			s.toOwn(far, &grs)
-			s.toFar(far, &isup.Message{Type: isup.GRA, CIC: grs.CIC, Range: grs.Range, Status: make([]byte, (int(grs.Range)+8)/8)})
+			s.sendToOwn(far, &grs)
+			s.sendToFar(far, &isup.Message{Type: isup.GRA, CIC: grs.CIC, Range: grs.Range, Status: make([]byte, (int(grs.Range)+8)/8)})
 		}})
 	case isup.CQM:
-		q := clone(m)
-		s.proc.add(job{done: func() { s.toFar(far, s.query(far, &q)) }})
+		query := clone(msg)
+		s.proc.add(job{done: func() { s.sendToFar(far, s.circuitQueryReply(far, &query)) }})
 	case isup.BLO, isup.UBL, isup.CGB, isup.CGU:
-		ack := clone(m)
-		ack.Type = map[isup.Type]isup.Type{isup.BLO: isup.BLA, isup.UBL: isup.UBA, isup.CGB: isup.CGBA, isup.CGU: isup.CGUA}[m.Type]
-		s.toOwn(far, m)
-		s.toFar(far, &ack)
+		ack := clone(msg)
+		ack.Type = map[isup.Type]isup.Type{isup.BLO: isup.BLA, isup.UBL: isup.UBA, isup.CGB: isup.CGBA, isup.CGU: isup.CGUA}[msg.Type]
+		s.sendToOwn(far, msg)
+		s.sendToFar(far, &ack)
 	}
 }
 
-// query answers CQM: busy are the circuits that the far exchange's calls hold here.
-func (s *Switch) query(far uint32, m *isup.Message) *isup.Message {
-	states := make([]byte, int(m.Range)+1)
+// circuitQueryReply returns the CQR for a CQM: circuits that hold a call of the far exchange are reported as incoming.
+func (s *Switch) circuitQueryReply(far uint32, query *isup.Message) *isup.Message {
+	states := make([]byte, int(query.Range)+1)
 	for i := range states {
 		states[i] = isup.CircuitIdle
-		if s.calls[circuitKey{far, m.CIC + uint16(i)}] != nil {
+		if s.calls[circuitKey{far, query.CIC + uint16(i)}] != nil {
 			states[i] = isup.CircuitIncoming
 		}
 	}
-	return &isup.Message{Type: isup.CQR, CIC: m.CIC, Range: m.Range, Circuits: states}
+	return &isup.Message{Type: isup.CQR, CIC: query.CIC, Range: query.Range, Circuits: states}
 }
 
-// iam takes a new set-up.
-func (s *Switch) iam(key circuitKey, m *isup.Message) {
-	if int(key.cic) > s.cfg.Circuits[key.far] || key.cic == 0 || slices.Contains(s.lost[key.far], key.cic) {
-		s.toFar(key.far, &isup.Message{Type: isup.REL, CIC: key.cic, Cause: isup.CauseNotAvailable, Location: isup.LocationNetwork})
+// iam handles a new set-up.
+func (s *Switch) iam(key circuitKey, msg *isup.Message) {
+	if int(key.cic) > s.cfg.Circuits[key.far] || key.cic == 0 || slices.Contains(s.lostCircuits[key.far], key.cic) {
+		s.sendToFar(key.far, &isup.Message{Type: isup.REL, CIC: key.cic, Cause: isup.CauseNotAvailable, Location: isup.LocationNetwork})
 		return
 	}
-	if old := s.calls[key]; old != nil && old.state != swReleasing {
-		if old.iam.Ref == m.Ref {
+	if existing := s.calls[key]; existing != nil && existing.state != switchCallReleasing {
+		if existing.iam.Ref == msg.Ref {
 			return
 		}
-		s.forget(key)
+		s.dropCall(key)
 	}
-	c := &swCall{key: key, iam: clone(m), transit: !s.serves(m.Called.String())}
-	s.calls[key] = c
-	if s.cold && s.capacity() < 1 && s.pushed() {
+	call := &switchCall{key: key, iam: clone(msg), transit: !s.servesNumber(msg.Called.String())}
+	s.calls[key] = call
+	if s.cold && s.capacityShare() < 1 && s.crashedByLoad() {
 		return
 	}
-	if !c.transit { // the own controller must know the circuit as taken at once
-		s.toOwn(key.far, m)
+	if !call.transit { // the own controller must see the circuit as seized at once
+		s.sendToOwn(key.far, msg)
 	}
-	loc := isup.LocationNetwork
-	if c.transit {
-		loc = isup.LocationTransit
+	location := isup.LocationNetwork
+	if call.transit {
+		location = isup.LocationTransit
 	}
-	if s.cfg.FullAfter > 0 && s.proc.wait() > s.cfg.FullAfter {
-		s.proc.add(job{work: s.work(s.cfg.RejectWork), done: func() {
-			if s.calls[key] == c && !c.gone {
-				s.releaseAt(c, isup.CauseCongestion, loc)
+	if s.cfg.FullAfter > 0 && s.proc.setUpDelay() > s.cfg.FullAfter {
+		s.proc.add(job{workTime: s.workTime(s.cfg.RejectWork), done: func() {
+			if s.calls[key] == call && !call.cleared {
+				s.releaseAt(call, isup.CauseCongestion, location)
 			}
 		}})
 		return
 	}
-	if kind, yes := s.thinFault(); yes {
+	if kind, hit := s.drawCallFault(); hit {
 		switch kind {
 		case CallFaultFull:
-			s.releaseAt(c, isup.CauseCongestion, loc)
+			s.releaseAt(call, isup.CauseCongestion, location)
 		case CallFaultReleased:
-			s.releaseAt(c, isup.CauseTemporary, loc)
+			s.releaseAt(call, isup.CauseTemporary, location)
 		case CallFaultReset:
-			s.forget(key)
-			s.toOwn(key.far, &isup.Message{Type: isup.RSC, CIC: key.cic})
-			s.toFar(key.far, &isup.Message{Type: isup.RSC, CIC: key.cic})
+			s.dropCall(key)
+			s.sendToOwn(key.far, &isup.Message{Type: isup.RSC, CIC: key.cic})
+			s.sendToFar(key.far, &isup.Message{Type: isup.RSC, CIC: key.cic})
 		}
-		return // silent: it waits for its caller's REL
+		return // CallFaultSilent: the call waits for its caller's REL
 	}
-	if s.cfg.EarlyACM && !c.transit {
-		s.toFar(key.far, &isup.Message{Type: isup.ACM, CIC: key.cic, Backward: 0x0416})
+	if s.cfg.EarlyACM && !call.transit {
+		s.sendToFar(key.far, &isup.Message{Type: isup.ACM, CIC: key.cic, Backward: 0x0416})
 	}
-	s.proc.add(job{work: s.work(1) * time.Duration(85+s.rng.IntN(31)) / 100, setUp: true,
-		extra: func(waited time.Duration) time.Duration {
-			if c.gone && s.cfg.DropAbandoned {
-				return -s.work(1)
+	s.proc.add(job{workTime: s.workTime(1) * time.Duration(85+s.rng.IntN(31)) / 100, setUp: true,
+		extraWork: func(waited time.Duration) time.Duration {
+			if call.cleared && s.cfg.DropAbandoned {
+				return -s.workTime(1)
 			}
-			extra := time.Duration(0)
+			extraWork := time.Duration(0)
 			for gap := s.cfg.Repeat; gap > 0 && waited > gap; waited, gap = waited-gap, gap*2 {
-				extra += s.work(s.cfg.RepeatWork)
+				extraWork += s.workTime(s.cfg.RepeatWork)
 			}
-			return extra
+			return extraWork
 		},
 		done: func() {
-			if s.calls[key] == c && !c.gone {
-				s.setUp(c)
+			if s.calls[key] == call && !call.cleared {
+				s.setUp(call)
 			}
 		}})
 }
 
-// pushed notes a set-up at a cold processor and tells whether it falls over.
-func (s *Switch) pushed() bool {
+// crashedByLoad counts a set-up at a cold processor and reports whether the switch crashes from it.
+func (s *Switch) crashedByLoad() bool {
 	now := time.Now()
-	s.recent = append(s.recent, now)
-	for len(s.recent) > 0 && now.Sub(s.recent[0]) > s.cfg.CrashSpan {
-		s.recent = s.recent[1:]
+	s.recentSetUps = append(s.recentSetUps, now)
+	for len(s.recentSetUps) > 0 && now.Sub(s.recentSetUps[0]) > s.cfg.CrashSpan {
+		s.recentSetUps = s.recentSetUps[1:]
 	}
-	limit := s.cfg.CrashMultiple * s.cfg.Rate * s.capacity() * s.cfg.CrashSpan.Seconds()
-	if s.cfg.CrashMultiple > 0 && float64(len(s.recent)) > limit {
-		s.dead = true
+	limit := s.cfg.CrashMultiple * s.cfg.Rate * s.capacityShare() * s.cfg.CrashSpan.Seconds()
+	if s.cfg.CrashMultiple > 0 && float64(len(s.recentSetUps)) > limit {
+		s.crashed = true
 		s.stop()
 		return true
 	}
 	return false
 }
 
-// setUp carries a set-up out: to a subscriber, or on to the own controller.
-func (s *Switch) setUp(c *swCall) {
-	c.state = swRinging
-	if c.transit {
-		if s.own == nil {
-			s.releaseAt(c, isup.CauseOutOfOrder, isup.LocationTransit)
+// setUp completes the set-up of a call whose work is done: to a subscriber or, for transit, to the own controller.
+func (s *Switch) setUp(call *switchCall) {
+	call.state = switchCallProceeding
+	if call.transit {
+		if s.ownAssoc == nil {
+			s.releaseAt(call, isup.CauseOutOfOrder, isup.LocationTransit)
 			return
 		}
-		s.toOwn(c.key.far, &c.iam)
+		s.sendToOwn(call.key.far, &call.iam)
 		return
 	}
-	number := c.iam.Called.String()
-	if limit, few := s.cfg.Lines[number]; few && s.lines[number] >= limit {
-		s.release(c, isup.CauseUserBusy)
+	number := call.iam.Called.String()
+	if limit, limited := s.cfg.Lines[number]; limited && s.linesInUse[number] >= limit {
+		s.release(call, isup.CauseUserBusy)
 		return
 	}
-	ringing, known := s.cfg.Ringing[c.iam.Category]
+	ringing, known := s.cfg.Ringing[call.iam.Category]
 	if !known {
 		ringing.Median = s.cfg.Ring
 	}
-	who := subscriber{}
+	party := calledParty{}
 	if known || ringing.Median > 0 {
-		who = ringing.draw(s.rng)
+		party = ringing.draw(s.rng)
 	}
-	if who.busy {
-		s.release(c, isup.CauseUserBusy)
+	if party.busy {
+		s.release(call, isup.CauseUserBusy)
 		return
 	}
-	c.line = number
-	s.lines[number]++
+	call.calledNumber = number
+	s.linesInUse[number]++
 	if !s.cfg.EarlyACM {
-		s.toFar(c.key.far, &isup.Message{Type: isup.ACM, CIC: c.key.cic, Backward: 0x0416})
+		s.sendToFar(call.key.far, &isup.Message{Type: isup.ACM, CIC: call.key.cic, Backward: 0x0416})
 	}
-	if who.silent {
+	if party.noAnswer {
 		return
 	}
 	answer := func() {
-		if s.calls[c.key] != c || c.gone {
+		if s.calls[call.key] != call || call.cleared {
 			return
 		}
-		s.proc.add(job{work: s.work(s.cfg.FollowWork), done: func() {
-			if s.calls[c.key] != c || c.gone {
+		s.proc.add(job{workTime: s.workTime(s.cfg.FollowWork), done: func() {
+			if s.calls[call.key] != call || call.cleared {
 				return
 			}
-			c.state = swAnswered
-			s.toFar(c.key.far, &isup.Message{Type: isup.ANM, CIC: c.key.cic})
+			call.state = switchCallAnswered
+			s.sendToFar(call.key.far, &isup.Message{Type: isup.ANM, CIC: call.key.cic})
 			if s.rng.Float64() < s.cfg.HangUp {
 				s.after(time.Duration(s.rng.ExpFloat64()*float64(s.cfg.Hold)), func() {
-					if s.calls[c.key] == c && c.state == swAnswered && !c.gone {
-						s.release(c, isup.CauseNormal)
+					if s.calls[call.key] == call && call.state == switchCallAnswered && !call.cleared {
+						s.release(call, isup.CauseNormal)
 					}
 				})
 			}
 		}})
 	}
-	if who.after > 0 {
-		s.after(who.after, answer)
+	if party.after > 0 {
+		s.after(party.after, answer)
 	} else {
 		answer()
 	}
 }
 
-func (s *Switch) release(c *swCall, cause isup.Cause) { s.releaseAt(c, cause, isup.LocationNetwork) }
+// release releases a call with location "network".
+func (s *Switch) release(call *switchCall, cause isup.Cause) {
+	s.releaseAt(call, cause, isup.LocationNetwork)
+}
 
-// releaseAt sends REL to the far exchange; the circuit is taken until RLC has come, or 4 s long.
-func (s *Switch) releaseAt(c *swCall, cause isup.Cause, loc isup.Location) {
-	c.state = swReleasing
-	s.freeLine(c)
-	s.toFar(c.key.far, &isup.Message{Type: isup.REL, CIC: c.key.cic, Cause: cause, Location: loc})
+// releaseAt sends REL with a location to the far exchange. The circuit is held until RLC arrives, or for 4 s.
+func (s *Switch) releaseAt(call *switchCall, cause isup.Cause, location isup.Location) {
+	call.state = switchCallReleasing
+	s.freeLine(call)
+	s.sendToFar(call.key.far, &isup.Message{Type: isup.REL, CIC: call.key.cic, Cause: cause, Location: location})
 	s.after(4*time.Second, func() {
-		if s.calls[c.key] == c {
-			s.forget(c.key)
-			s.toOwn(c.key.far, &isup.Message{Type: isup.RLC, CIC: c.key.cic})
+		if s.calls[call.key] == call {
+			s.dropCall(call.key)
+			s.sendToOwn(call.key.far, &isup.Message{Type: isup.RLC, CIC: call.key.cic})
 		}
 	})
 }
 
-// left ends a call in transit that its caller has released, once the own controller knows.
-func (s *Switch) left(c *swCall) {
-	if s.calls[c.key] == c && c.leaving {
-		s.forget(c.key)
-		s.toFar(c.key.far, &isup.Message{Type: isup.RLC, CIC: c.key.cic})
+// finishTransitRelease ends a call in transit that its caller has released, after the own controller's RLC or 4 s without it.
+func (s *Switch) finishTransitRelease(call *switchCall) {
+	if s.calls[call.key] == call && call.awaitsOwnRLC {
+		s.dropCall(call.key)
+		s.sendToFar(call.key.far, &isup.Message{Type: isup.RLC, CIC: call.key.cic})
 	}
 }
 
-func (s *Switch) freeLine(c *swCall) {
-	if c.line != "" {
-		s.lines[c.line]--
-		c.line = ""
+// freeLine frees the called number's line.
+func (s *Switch) freeLine(call *switchCall) {
+	if call.calledNumber != "" {
+		s.linesInUse[call.calledNumber]--
+		call.calledNumber = ""
 	}
 }
 
-func (s *Switch) forget(key circuitKey) {
-	if c := s.calls[key]; c != nil {
-		c.gone = true
-		s.freeLine(c)
+// dropCall removes a call from the table, without a message.
+func (s *Switch) dropCall(key circuitKey) {
+	if call := s.calls[key]; call != nil {
+		call.cleared = true
+		s.freeLine(call)
 		delete(s.calls, key)
 	}
 }
 
-// fromOwn takes a message of the own controller about an incoming call of a group: it is passed back to the far exchange.
-func (s *Switch) fromOwn(far uint32, m *isup.Message) {
-	key := circuitKey{far, m.CIC}
-	c := s.calls[key]
-	switch m.Type {
-	case isup.RSC: // disregard the call: dual seizure
-		s.forget(key)
-		s.toOwn(far, &isup.Message{Type: isup.RLC, CIC: m.CIC})
+// handleFromOwn handles a message of the own controller about an incoming call; messages about calls in transit are passed to
+// the far exchange.
+func (s *Switch) handleFromOwn(far uint32, msg *isup.Message) {
+	key := circuitKey{far, msg.CIC}
+	call := s.calls[key]
+	switch msg.Type {
+	case isup.RSC: // dual seizure: the own controller drops the incoming call
+		s.dropCall(key)
+		s.sendToOwn(far, &isup.Message{Type: isup.RLC, CIC: msg.CIC})
 	case isup.CQM:
-		s.toOwn(far, s.query(far, m))
+		s.sendToOwn(far, s.circuitQueryReply(far, msg))
 	case isup.RLC:
-		if c != nil {
-			s.left(c)
+		if call != nil {
+			s.finishTransitRelease(call)
 		}
 	case isup.ACM, isup.CPG, isup.ANM, isup.CON:
-		if c == nil || !c.transit || c.gone {
+		if call == nil || !call.transit || call.cleared {
 			return
 		}
-		back := clone(m)
-		s.proc.add(job{work: s.work(s.cfg.FollowWork), done: func() {
-			if s.calls[key] != c || c.gone {
+		back := clone(msg)
+		s.proc.add(job{workTime: s.workTime(s.cfg.FollowWork), done: func() {
+			if s.calls[key] != call || call.cleared {
 				return
 			}
 			if back.Type == isup.ANM || back.Type == isup.CON {
-				c.state = swAnswered
+				call.state = switchCallAnswered
 			}
-			s.toFar(far, &back)
+			s.sendToFar(far, &back)
 		}})
 	case isup.REL:
-		if c == nil || !c.transit || c.gone {
-			s.toOwn(far, &isup.Message{Type: isup.RLC, CIC: m.CIC})
+		if call == nil || !call.transit || call.cleared {
+			s.sendToOwn(far, &isup.Message{Type: isup.RLC, CIC: msg.CIC})
 			return
 		}
-		rel := clone(m)
-		s.proc.add(job{work: s.work(s.cfg.FollowWork), done: func() {
-			if s.calls[key] == c && !c.gone && c.state != swReleasing {
-				s.releaseAt(c, rel.Cause, rel.Location)
+		rel := clone(msg)
+		s.proc.add(job{workTime: s.workTime(s.cfg.FollowWork), done: func() {
+			if s.calls[key] == call && !call.cleared && call.state != switchCallReleasing {
+				s.releaseAt(call, rel.Cause, rel.Location)
 			}
 		}})
 	}
--- a/emulator/switchset/switchset.go
+++ b/emulator/switchset/switchset.go
@@ -1,4 +1,4 @@
-// Package switchset runs stand-in switches from a file, so that a controller can be tried without a network around it.
+// Package switchset runs emulated switches configured in a YAML file, so that a controller can be tried without a network.
 package switchset
 
 import (
@@ -15,23 +15,23 @@
 	"github.com/umbergauge/umbergauge/record"
 )
 
-// Config is one or more switches. docs/operations/switch.md explains each key.
+// Config configures one or more switches. docs/operations/switch.md explains each key.
 type Config struct {
 	Seed     uint64        `yaml:"seed"`
-	Delay    time.Duration `yaml:"delay"` // one way, between every controller and every switch but its own
+	Delay    time.Duration `yaml:"delay"` // one-way delay between a controller and every switch but its own
 	Switches []Switch      `yaml:"switches"`
 	Ringing  []Class       `yaml:"ringing"`
 }
 
-// Switch is one switch.
+// Switch configures one switch.
 type Switch struct {
 	PointCode uint32         `yaml:"point_code"`
 	Listen    string         `yaml:"listen"`
 	Prefixes  []string       `yaml:"prefixes"`
-	Circuits  map[uint32]int `yaml:"circuits"` // trunk groups by far exchange
+	Circuits  map[uint32]int `yaml:"circuits"` // circuits of each trunk group, by far exchange
 	Cold      bool           `yaml:"cold"`
 
-	Rate         float64       `yaml:"rate"` // set-ups a second; 0: any number
+	Rate         float64       `yaml:"rate"` // set-ups a second; 0: unlimited
 	FullAfter    time.Duration `yaml:"full_after"`
 	FollowWork   float64       `yaml:"follow_work"`
 	RejectWork   float64       `yaml:"reject_work"`
@@ -42,7 +42,7 @@
 	CallFaults   CallFaults    `yaml:"thin"`
 }
 
-// CallFaults are shares of set-ups that meet a fault though the switch is well.
+// CallFaults are the shares of set-ups that fail with each kind of call fault.
 type CallFaults struct {
 	Full   float64 `yaml:"full"`
 	Silent float64 `yaml:"silent"`
@@ -50,114 +50,114 @@
 	Failed float64 `yaml:"failed"`
 }
 
-// Class is how the numbers that callers of a category dial take calls.
+// Class describes how called numbers respond to calls of one calling party's category.
 type Class struct {
 	Category         int `yaml:"category"`
 	emulator.Ringing `yaml:",inline"`
 }
 
-// Default has the values of keys that a file may leave out.
+// Default returns the values of the keys that a file may leave out.
 func Default() Config { return Config{Seed: 1} }
 
-// Load reads and checks a file. The error is config.Faults, or that of reading the file.
+// Load reads and checks a file. The error is a config.Faults, or the error of reading the file.
 func Load(path string) (*Config, error) {
-	b, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(path, b)
+	return Parse(path, data)
 }
 
-// Parse reads and checks a file's content; name stands in its errors.
-func Parse(name string, b []byte) (*Config, error) {
-	c := Default()
-	if err := config.Decode(name, b, &c); err != nil {
+// Parse reads and checks the content of a file; errors name the file by name.
+func Parse(name string, data []byte) (*Config, error) {
+	cfg := Default()
+	if err := config.Decode(name, data, &cfg); err != nil {
 		return nil, err
 	}
-	v := config.NewChecker(name, b)
-	v.Must(c.Delay >= 0 && c.Delay <= 10*time.Second, "delay", "%v; 0 to 10s can be", c.Delay)
-	v.Must(len(c.Switches) > 0, "switches", "is missing: there is none")
+	v := config.NewChecker(name, data)
+	v.Must(cfg.Delay >= 0 && cfg.Delay <= 10*time.Second, "delay", "%v out of range [0, 10s]", cfg.Delay)
+	v.Must(len(cfg.Switches) > 0, "switches", "is missing: at least one switch is needed")
 	seen := map[uint32]bool{}
-	for i, x := range c.Switches {
+	for i, sw := range cfg.Switches {
 		key := func(k string) string { return fmt.Sprintf("switches[%d].%s", i, k) }
-		v.Must(x.PointCode > 0 && x.PointCode <= 1<<14-1 && !seen[x.PointCode], key("point_code"), "%d is missing, given twice or above 16383", x.PointCode)
-		seen[x.PointCode] = true
-		v.Address(key("listen"), x.Listen)
-		for far, n := range x.Circuits {
-			v.Must(n >= 0 && n <= isup.MaxCIC && far != x.PointCode, key("circuits"), "%d circuits to exchange %d; 0 to %d to another can be", n, far, isup.MaxCIC)
+		v.Must(sw.PointCode > 0 && sw.PointCode <= 1<<14-1 && !seen[sw.PointCode], key("point_code"), "%d is missing, used twice or above 16383", sw.PointCode)
+		seen[sw.PointCode] = true
+		v.Address(key("listen"), sw.Listen)
+		for far, n := range sw.Circuits {
+			v.Must(n >= 0 && n <= isup.MaxCIC && far != sw.PointCode, key("circuits"), "%d circuits to exchange %d: the number must be 0 to %d and the exchange another one", n, far, isup.MaxCIC)
 		}
-		v.Must(x.Rate >= 0 && x.Rate <= 1e6, key("rate"), "%v; 0 to a million can be", x.Rate)
-		v.Must(x.FullAfter >= 0 && x.Hold >= 0, key("full_after"), "a negative time")
-		for _, p := range []struct {
+		v.Must(sw.Rate >= 0 && sw.Rate <= 1e6, key("rate"), "%v out of range [0, 1000000]", sw.Rate)
+		v.Must(sw.FullAfter >= 0 && sw.Hold >= 0, key("full_after"), "full_after and hold must not be negative")
+		for _, setting := range []struct {
 			key string
 			v   float64
-		}{{"follow_work", x.FollowWork}, {"reject_work", x.RejectWork}} {
-			v.Must(p.v >= 0 && p.v <= 10, key(p.key), "%v; 0 to 10 can be", p.v)
+		}{{"follow_work", sw.FollowWork}, {"reject_work", sw.RejectWork}} {
+			v.Must(setting.v >= 0 && setting.v <= 10, key(setting.key), "%v out of range [0, 10]", setting.v)
 		}
 		sum := 0.0
-		for _, p := range []struct {
+		for _, setting := range []struct {
 			key string
 			v   float64
-		}{{"hang_up", x.HangUp}, {"thin.full", x.CallFaults.Full}, {"thin.silent", x.CallFaults.Silent}, {"thin.reset", x.CallFaults.Reset}, {"thin.failed", x.CallFaults.Failed}} {
-			v.Must(p.v >= 0 && p.v <= 1, key(p.key), "%v; 0 to 1 can be", p.v)
-			sum += p.v
+		}{{"hang_up", sw.HangUp}, {"thin.full", sw.CallFaults.Full}, {"thin.silent", sw.CallFaults.Silent}, {"thin.reset", sw.CallFaults.Reset}, {"thin.failed", sw.CallFaults.Failed}} {
+			v.Must(setting.v >= 0 && setting.v <= 1, key(setting.key), "%v out of range [0, 1]", setting.v)
+			sum += setting.v
 		}
-		v.Must(sum-x.HangUp <= 1, key("thin"), "the shares add up to %.2f", sum-x.HangUp)
+		v.Must(sum-sw.HangUp <= 1, key("thin"), "the shares add up to %.2f, more than 1", sum-sw.HangUp)
 	}
-	for i, r := range c.Ringing {
+	for i, r := range cfg.Ringing {
 		key := fmt.Sprintf("ringing[%d]", i)
-		v.Must(r.Category >= 0 && r.Category < 256, key+".category", "%d is no calling party's category", r.Category)
+		v.Must(r.Category >= 0 && r.Category < 256, key+".category", "%d is not a calling party's category (0 to 255)", r.Category)
 		if err := r.Check(); err != nil {
 			v.Fail(key, "%v", err)
 		}
 	}
-	return &c, v.Err()
+	return &cfg, v.Err()
 }
 
 // Set is a running set of switches.
 type Set struct {
-	Addrs    map[uint32]string // where each listens
+	Addrs    map[uint32]string // listening address of each switch, by point code
 	Switches map[uint32]*emulator.Switch
 }
 
-// Start starts the switches. On an error none runs.
-func Start(c *Config) (*Set, error) {
+// Start starts the switches. If it returns an error, none is left running.
+func Start(cfg *Config) (*Set, error) {
 	log := record.New()
 	log.Discard()
-	var nd net.Dialer
-	sn := &emulator.Network{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
-		Dial: func(ctx context.Context, a string) (net.Conn, error) { return nd.DialContext(ctx, "tcp", a) }}
-	sn.SetDelay(func(a, b uint32) time.Duration {
+	var dialer net.Dialer
+	network := &emulator.Network{Log: log, Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) },
+		Dial: func(ctx context.Context, a string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", a) }}
+	network.SetDelay(func(a, b uint32) time.Duration {
 		if a == b {
 			return 0
 		}
-		return c.Delay
+		return cfg.Delay
 	})
 	ringing := map[isup.Category]emulator.Ringing{}
-	for _, r := range c.Ringing {
-		ringing[isup.Category(r.Category)] = r.Ringing
+	for _, class := range cfg.Ringing {
+		ringing[isup.Category(class.Category)] = class.Ringing
 	}
 	s := &Set{Addrs: map[uint32]string{}, Switches: map[uint32]*emulator.Switch{}}
-	for i, x := range c.Switches {
-		sw := emulator.NewSwitch(sn, emulator.SwitchConfig{PC: x.PointCode, Prefixes: x.Prefixes, Circuits: x.Circuits, Seed: c.Seed + uint64(i),
-			Rate: x.Rate, FollowWork: x.FollowWork, RejectWork: x.RejectWork, FullAfter: x.FullAfter, AnswersFirst: x.AnswersFirst,
-			EarlyACM: x.EarlyACM, HangUp: x.HangUp, Hold: x.Hold, Ringing: ringing, ColdShare: 0.3, WarmUp: 15 * time.Second})
-		s.Switches[x.PointCode] = sw
-		addr, err := sw.Start(x.Listen, x.Cold)
+	for i, swCfg := range cfg.Switches {
+		sw := emulator.NewSwitch(network, emulator.SwitchConfig{PC: swCfg.PointCode, Prefixes: swCfg.Prefixes, Circuits: swCfg.Circuits, Seed: cfg.Seed + uint64(i),
+			Rate: swCfg.Rate, FollowWork: swCfg.FollowWork, RejectWork: swCfg.RejectWork, FullAfter: swCfg.FullAfter, AnswersFirst: swCfg.AnswersFirst,
+			EarlyACM: swCfg.EarlyACM, HangUp: swCfg.HangUp, Hold: swCfg.Hold, Ringing: ringing, ColdShare: 0.3, WarmUp: 15 * time.Second})
+		s.Switches[swCfg.PointCode] = sw
+		addr, err := sw.Start(swCfg.Listen, swCfg.Cold)
 		if err != nil {
 			s.Close()
-			return nil, fmt.Errorf("switch %d: %w", x.PointCode, err)
+			return nil, fmt.Errorf("switch %d: %w", swCfg.PointCode, err)
 		}
-		s.Addrs[x.PointCode] = addr
-		for kind, share := range map[emulator.CallFault]float64{emulator.CallFaultFull: x.CallFaults.Full, emulator.CallFaultSilent: x.CallFaults.Silent,
-			emulator.CallFaultReset: x.CallFaults.Reset, emulator.CallFaultReleased: x.CallFaults.Failed} {
+		s.Addrs[swCfg.PointCode] = addr
+		for kind, share := range map[emulator.CallFault]float64{emulator.CallFaultFull: swCfg.CallFaults.Full, emulator.CallFaultSilent: swCfg.CallFaults.Silent,
+			emulator.CallFaultReset: swCfg.CallFaults.Reset, emulator.CallFaultReleased: swCfg.CallFaults.Failed} {
 			sw.SetCallFault(kind, share)
 		}
 	}
 	return s, nil
 }
 
-// Established are the calls that stand at each switch, by point code in order.
+// Established returns the point codes of the switches in ascending order and the number of established calls at each.
 func (s *Set) Established() (pcs []uint32, n []int) {
 	for pc := range s.Switches {
 		pcs = append(pcs, pc)
@@ -169,7 +169,7 @@
 	return pcs, n
 }
 
-// Close ends all switches.
+// Close stops all switches.
 func (s *Set) Close() {
 	for _, sw := range s.Switches {
 		sw.Close()
--- a/emulator/switchset/switchset_test.go
+++ b/emulator/switchset/switchset_test.go
@@ -18,7 +18,9 @@
   - {category: 10, median: 3s, spread: 0.5, no_answer: 0.03, busy: 0.01}
 `
 
-func TestStartsAndEnds(t *testing.T) {
+// Guards against a set that does not start or stop whole: Start must report an address in use with the switch that wanted it,
+// and leave no goroutine behind (TestMain checks).
+func TestStartReportsAddressInUseAndLeavesNoGoroutine(t *testing.T) {
 	c, err := Parse("s.yaml", []byte(good))
 	if err != nil {
 		t.Fatal(err)
@@ -28,34 +30,35 @@
 		t.Fatal(err)
 	}
 	if pcs, n := s.Established(); len(pcs) != 2 || pcs[0] != 101 || n[0]+n[1] != 0 || s.Addrs[102] == "" {
-		t.Errorf("%v %v %v", pcs, n, s.Addrs)
+		t.Errorf("point codes %v, established calls %v, addresses %v", pcs, n, s.Addrs)
 	}
 	taken := *c
 	taken.Switches = append([]Switch(nil), c.Switches...)
 	taken.Switches[1].Listen = s.Addrs[101]
 	if _, err := Start(&taken); err == nil || !strings.Contains(err.Error(), "switch 102") {
-		t.Errorf("an address in use: %v", err)
+		t.Errorf("start on an address in use: error %v, want one that names switch 102", err)
 	}
 	s.Close()
 }
 
-func TestFaultsOfAFile(t *testing.T) {
+// Guards against a wrong value that passes the check of a file, or is reported without its key and place.
+func TestParseReportsKeyOfInvalidValue(t *testing.T) {
 	for what, change := range map[string][2]string{
-		"s.yaml:4:31: switches[0].listen":       {`"127.0.0.1:0", prefixes: ["8201"]`, `"127.0.0.1:70000", prefixes: ["8201"]`},
-		"switches[1].point_code":                {"point_code: 102", "point_code: 101"},
-		"switches[1].thin":                      {"full: 0.5", "full: 0.6"},
-		"switches[0].circuits":                  {"{102: 5}", "{102: 5000}"},
-		"ringing[0]":                            {"busy: 0.01", "busy: 0.99"},
-		"s.yaml:7:32: spraed":                   {"spread", "spraed"},
-		"delay":                                 {"delay: 1ms", "delay: -1ms"},
-		"switches[1].thin.silent: 1.5; 0 to 1 ": {"silent: 0.5", "silent: 1.5"},
+		"s.yaml:4:31: switches[0].listen": {`"127.0.0.1:0", prefixes: ["8201"]`, `"127.0.0.1:70000", prefixes: ["8201"]`},
+		"switches[1].point_code":          {"point_code: 102", "point_code: 101"},
+		"switches[1].thin":                {"full: 0.5", "full: 0.6"},
+		"switches[0].circuits":            {"{102: 5}", "{102: 5000}"},
+		"ringing[0]":                      {"busy: 0.01", "busy: 0.99"},
+		"s.yaml:7:32: spraed":             {"spread", "spraed"},
+		"delay":                           {"delay: 1ms", "delay: -1ms"},
+		"switches[1].thin.silent: 1.5 out of range [0, 1]": {"silent: 0.5", "silent: 1.5"},
 	} {
 		text := strings.Replace(good, change[0], change[1], 1)
 		if text == good {
-			t.Fatalf("%q is not in the file", change[0])
+			t.Fatalf("text to replace %q is not in the file", change[0])
 		}
 		if _, err := Parse("s.yaml", []byte(text)); err == nil || !strings.Contains(err.Error(), what) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("want an error that contains %s; got %v", what, err)
 		}
 	}
 }
