--- a/capture/capture.go
+++ b/capture/capture.go
@@ -1,6 +1,6 @@
-// Package capture writes the frames of associations as pcapng files that Wireshark's own M3UA and ISUP dissectors read. The
-// program speaks M3UA over TCP, which those don't know; so each frame is written as what it would be over SCTP: one DATA
-// chunk with payload protocol 3 (RFC 4666, 1.4.1), on the addresses and ports of its connection.
+// Package capture writes the frames of associations to pcapng files that Wireshark's M3UA and ISUP dissectors can read. The
+// program runs M3UA over TCP, which these dissectors do not support, so each frame is written as an SCTP packet with one DATA
+// chunk, payload protocol identifier 3 (RFC 4666, 1.4.1), and the addresses and ports of its TCP connection.
 package capture
 
 import (
@@ -19,12 +19,12 @@
 	"github.com/gopacket/gopacket/pcapgo"
 )
 
-// Config says where and how much.
+// Config sets the directory and the limits of a capture.
 type Config struct {
-	Dir   string
-	Bytes int // of a file, about
-	Files int // the oldest goes when there are more
-	Queue int // frames that wait to be written; beyond, frames are left out and counted
+	Dir   string // directory, created if missing
+	Bytes int    // approximate maximum size of a file
+	Files int    // maximum number of files; the oldest is removed when there are more
+	Queue int    // frames that may wait to be written; further ones are dropped and counted
 }
 
 // Frame is one frame of an association.
@@ -34,71 +34,73 @@
 	Data     []byte
 }
 
-// Writer writes frames without holding up who hands them in.
+// Writer writes frames in the background, without blocking those who put them in.
 type Writer struct {
 	cfg     Config
-	in      chan Frame
+	queue   chan Frame
 	dropped atomic.Uint64
 	written atomic.Uint64
 }
 
-// New makes a Writer; Run writes.
+// New creates a Writer; Run does the writing.
 func New(cfg Config) (*Writer, error) {
 	if cfg.Bytes < 1<<12 || cfg.Files < 1 || cfg.Queue < 1 {
-		return nil, errors.New("capture: files of 4096 octets at the least, one file and a queue of one are wanted")
+		return nil, errors.New("capture: file size must be at least 4096 octets, number of files and queue at least 1")
 	}
 	if err := os.MkdirAll(cfg.Dir, 0o750); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	return &Writer{cfg: cfg, in: make(chan Frame, cfg.Queue)}, nil
+	return &Writer{cfg: cfg, queue: make(chan Frame, cfg.Queue)}, nil
 }
 
-// Put hands in a frame, whose data is copied. It never waits.
-func (w *Writer) Put(at time.Time, from, to net.Addr, data []byte) {
+// Put queues a copy of a frame. It never blocks: if the queue is full, the frame is dropped.
+func (w *Writer) Put(timestamp time.Time, from, to net.Addr, data []byte) {
 	select {
-	case w.in <- Frame{at, addrPort(from), addrPort(to), append([]byte(nil), data...)}:
+	case w.queue <- Frame{timestamp, addrPort(from), addrPort(to), append([]byte(nil), data...)}:
 	default:
 		w.dropped.Add(1)
 	}
 }
 
-// Dropped is how many frames were left out because the disk was slower than they.
+// Dropped returns the number of frames dropped because the queue was full.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Written is how many frames are in files.
+// Written returns the number of frames written to files.
 func (w *Writer) Written() uint64 { return w.written.Load() }
 
-func addrPort(a net.Addr) netip.AddrPort {
-	if t, ok := a.(*net.TCPAddr); ok {
-		p := t.AddrPort()
-		return netip.AddrPortFrom(p.Addr().Unmap(), p.Port())
+// addrPort returns the address and port of a TCP address, and 127.0.0.1:2905 for any other.
+func addrPort(addr net.Addr) netip.AddrPort {
+	if tcpAddr, ok := addr.(*net.TCPAddr); ok {
+		endpoint := tcpAddr.AddrPort()
+		return netip.AddrPortFrom(endpoint.Addr().Unmap(), endpoint.Port())
 	}
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 2905)
 }
 
-// Run writes until ctx ends, and then what is queued still. An error of the disk ends it; the daemon goes on without.
+// Run writes frames until ctx is done, and then the frames still in the queue. A write error ends it; the daemon continues
+// without the capture.
 func (w *Writer) Run(ctx context.Context) error {
-	f := &file{w: w, tsn: map[[2]netip.AddrPort]uint32{}}
+	f := &fileRing{w: w, lastTSN: map[[2]netip.AddrPort]uint32{}}
 	defer f.close()
 	flush := time.NewTicker(time.Second)
 	defer flush.Stop()
 	for {
 		select {
-		case x := <-w.in:
-			if err := f.put(x); err != nil {
+		case frame := <-w.queue:
+			if err := f.put(frame); err != nil {
 				return fmt.Errorf("capture: %w", err)
 			}
 		case <-flush.C:
-			if f.ng != nil {
-				if err := f.ng.Flush(); err != nil {
+			if f.pcap != nil {
+				if err := f.pcap.Flush(); err != nil {
 					return fmt.Errorf("capture: %w", err)
 				}
 			}
 		case <-ctx.Done():
 			for {
 				select {
-				case x := <-w.in:
-					if err := f.put(x); err != nil {
+				case frame := <-w.queue:
+					if err := f.put(frame); err != nil {
 						return fmt.Errorf("capture: %w", err)
 					}
 					continue
@@ -110,54 +112,56 @@
 	}
 }
 
-// file is the ring of files.
-type file struct {
-	w    *Writer
-	f    *os.File
-	ng   *pcapgo.NgWriter
-	n    int
-	used int
-	kept []string
-	tsn  map[[2]netip.AddrPort]uint32
-	buf  gopacket.SerializeBuffer
+// fileRing writes to the newest file of the capture and removes the oldest.
+type fileRing struct {
+	w        *Writer
+	f        *os.File
+	pcap     *pcapgo.NgWriter
+	sequence int
+	size     int
+	names    []string
+	lastTSN  map[[2]netip.AddrPort]uint32
+	buf      gopacket.SerializeBuffer
 }
 
-func (f *file) close() error {
+func (f *fileRing) close() error {
 	if f.f == nil {
 		return nil
 	}
-	err := errors.Join(f.ng.Flush(), f.f.Close())
-	f.f, f.ng = nil, nil
+	err := errors.Join(f.pcap.Flush(), f.f.Close())
+	f.f, f.pcap = nil, nil
 	return err
 }
 
-func (f *file) open() error {
+// open starts the next file and removes the oldest if there are too many.
+func (f *fileRing) open() error {
 	if err := f.close(); err != nil {
 		return err
 	}
-	f.n++
-	name := filepath.Join(f.w.cfg.Dir, fmt.Sprintf("umbergauge-%06d.pcapng", f.n))
+	f.sequence++
+	name := filepath.Join(f.w.cfg.Dir, fmt.Sprintf("umbergauge-%06d.pcapng", f.sequence))
 	var err error
 	if f.f, err = os.Create(name); err != nil {
 		return err
 	}
-	if f.ng, err = pcapgo.NewNgWriter(f.f, layers.LinkTypeRaw); err != nil {
+	if f.pcap, err = pcapgo.NewNgWriter(f.f, layers.LinkTypeRaw); err != nil {
 		return err
 	}
-	f.used = 0
-	f.kept = append(f.kept, name)
-	if len(f.kept) > f.w.cfg.Files {
-		os.Remove(f.kept[0])
-		f.kept = f.kept[1:]
+	f.size = 0
+	f.names = append(f.names, name)
+	if len(f.names) > f.w.cfg.Files {
+		os.Remove(f.names[0])
+		f.names = f.names[1:]
 	}
 	return nil
 }
 
-// maxAssociations bounds the memory of sequence numbers; beyond, they begin anew.
-const maxAssociations = 1 << 16
+// maxDirections limits the memory used for sequence numbers, two directions per association; at the limit all of them restart.
+const maxDirections = 1 << 16
 
-func (f *file) put(x Frame) error {
-	if f.ng == nil || f.used >= f.w.cfg.Bytes {
+// put writes one frame as an SCTP packet.
+func (f *fileRing) put(frame Frame) error {
+	if f.pcap == nil || f.size >= f.w.cfg.Bytes {
 		if err := f.open(); err != nil {
 			return err
 		}
@@ -165,87 +169,88 @@
 	if f.buf == nil {
 		f.buf = gopacket.NewSerializeBuffer()
 	}
-	way := [2]netip.AddrPort{x.From, x.To}
-	if len(f.tsn) >= maxAssociations {
-		clear(f.tsn)
+	direction := [2]netip.AddrPort{frame.From, frame.To}
+	if len(f.lastTSN) >= maxDirections {
+		clear(f.lastTSN)
 	}
-	f.tsn[way]++
-	sctp := &layers.SCTP{SrcPort: layers.SCTPPort(x.From.Port()), DstPort: layers.SCTPPort(x.To.Port()), VerificationTag: tag(x.From) ^ tag(x.To)}
-	chunk := &layers.SCTPData{SCTPChunk: layers.SCTPChunk{Type: layers.SCTPChunkTypeData, Length: uint16(16 + len(x.Data))}, BeginFragment: true, EndFragment: true,
-		TSN: f.tsn[way], StreamId: 1, StreamSequence: uint16(f.tsn[way]), PayloadProtocol: 3}
+	f.lastTSN[direction]++
+	header := &layers.SCTP{SrcPort: layers.SCTPPort(frame.From.Port()), DstPort: layers.SCTPPort(frame.To.Port()), VerificationTag: verificationTag(frame.From) ^ verificationTag(frame.To)}
+	chunk := &layers.SCTPData{SCTPChunk: layers.SCTPChunk{Type: layers.SCTPChunkTypeData, Length: uint16(16 + len(frame.Data))}, BeginFragment: true, EndFragment: true,
+		TSN: f.lastTSN[direction], StreamId: 1, StreamSequence: uint16(f.lastTSN[direction]), PayloadProtocol: 3}
 	var ip gopacket.SerializableLayer
-	if x.From.Addr().Is4() && x.To.Addr().Is4() {
-		ip = &layers.IPv4{Version: 4, TTL: 64, Protocol: layers.IPProtocolSCTP, SrcIP: x.From.Addr().AsSlice(), DstIP: x.To.Addr().AsSlice()}
+	if frame.From.Addr().Is4() && frame.To.Addr().Is4() {
+		ip = &layers.IPv4{Version: 4, TTL: 64, Protocol: layers.IPProtocolSCTP, SrcIP: frame.From.Addr().AsSlice(), DstIP: frame.To.Addr().AsSlice()}
 	} else {
-		a, b := x.From.Addr().As16(), x.To.Addr().As16()
+		a, b := frame.From.Addr().As16(), frame.To.Addr().As16()
 		ip = &layers.IPv6{Version: 6, HopLimit: 64, NextHeader: layers.IPProtocolSCTP, SrcIP: a[:], DstIP: b[:]}
 	}
-	if err := gopacket.SerializeLayers(f.buf, gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}, ip, sctp, chunk, gopacket.Payload(x.Data)); err != nil {
+	if err := gopacket.SerializeLayers(f.buf, gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}, ip, header, chunk, gopacket.Payload(frame.Data)); err != nil {
 		return err
 	}
 	b := f.buf.Bytes()
-	if err := f.ng.WritePacket(gopacket.CaptureInfo{Timestamp: x.At, CaptureLength: len(b), Length: len(b)}, b); err != nil {
+	if err := f.pcap.WritePacket(gopacket.CaptureInfo{Timestamp: frame.At, CaptureLength: len(b), Length: len(b)}, b); err != nil {
 		return err
 	}
-	f.used += len(b) + 32
+	f.size += len(b) + 32
 	f.w.written.Add(1)
 	return nil
 }
 
-// tag makes a verification tag that both directions of an association share a look of.
-func tag(a netip.AddrPort) uint32 {
-	b := a.Addr().As16()
-	return uint32(b[12])<<24 | uint32(b[15])<<16 | uint32(a.Port())
+// verificationTag returns the part of one end in the verification tag of an association. The tag is the exclusive or of both
+// parts, and so the same in both directions.
+func verificationTag(addr netip.AddrPort) uint32 {
+	octets := addr.Addr().As16()
+	return uint32(octets[12])<<24 | uint32(octets[15])<<16 | uint32(addr.Port())
 }
 
-// Read gives every frame of a file, in its order. A file that was cut off gives what is whole, and io.ErrUnexpectedEOF or
-// another error of the reader.
-func Read(name string, give func(Frame) error) error {
+// Read passes every frame of a file to handle, in order. From a truncated file it reads the frames that are whole, and returns
+// io.ErrUnexpectedEOF or another error of the reader.
+func Read(name string, handle func(Frame) error) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	r, err := pcapgo.NewNgReader(f, pcapgo.DefaultNgReaderOptions)
+	reader, err := pcapgo.NewNgReader(f, pcapgo.DefaultNgReaderOptions)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	for {
-		b, info, err := r.ReadPacketData()
+		packet, info, err := reader.ReadPacketData()
 		if err != nil {
 			if err.Error() == "EOF" {
 				return nil
 			}
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		first := layers.LayerTypeIPv4
-		if len(b) > 0 && b[0]>>4 == 6 {
-			first = layers.LayerTypeIPv6
+		firstLayer := layers.LayerTypeIPv4
+		if len(packet) > 0 && packet[0]>>4 == 6 {
+			firstLayer = layers.LayerTypeIPv6
 		}
-		p := gopacket.NewPacket(b, first, gopacket.NoCopy)
-		data, ok := p.Layer(layers.LayerTypeSCTPData).(*layers.SCTPData)
-		sctp, ok2 := p.Layer(layers.LayerTypeSCTP).(*layers.SCTP)
-		if !ok || !ok2 || data.PayloadProtocol != 3 {
+		decoded := gopacket.NewPacket(packet, firstLayer, gopacket.NoCopy)
+		data, hasData := decoded.Layer(layers.LayerTypeSCTPData).(*layers.SCTPData)
+		header, hasSCTP := decoded.Layer(layers.LayerTypeSCTP).(*layers.SCTP)
+		if !hasData || !hasSCTP || data.PayloadProtocol != 3 {
 			continue
 		}
-		x := Frame{At: info.Timestamp, Data: payload(data)}
-		if n := p.NetworkLayer(); n != nil {
-			src, dst := n.NetworkFlow().Endpoints()
-			a, _ := netip.AddrFromSlice(src.Raw())
-			c, _ := netip.AddrFromSlice(dst.Raw())
-			x.From, x.To = netip.AddrPortFrom(a, uint16(sctp.SrcPort)), netip.AddrPortFrom(c, uint16(sctp.DstPort))
+		frame := Frame{At: info.Timestamp, Data: payload(data)}
+		if network := decoded.NetworkLayer(); network != nil {
+			src, dst := network.NetworkFlow().Endpoints()
+			srcAddr, _ := netip.AddrFromSlice(src.Raw())
+			dstAddr, _ := netip.AddrFromSlice(dst.Raw())
+			frame.From, frame.To = netip.AddrPortFrom(srcAddr, uint16(header.SrcPort)), netip.AddrPortFrom(dstAddr, uint16(header.DstPort))
 		}
-		if err := give(x); err != nil {
+		if err := handle(frame); err != nil {
 			return err
 		}
 	}
 }
 
-// payload is the content of a chunk without its padding.
-func payload(d *layers.SCTPData) []byte {
-	b := d.Payload
-	if n := int(d.Length) - 16; n >= 0 && n <= len(b) {
-		return b[:n]
+// payload returns the content of a chunk without its padding.
+func payload(chunk *layers.SCTPData) []byte {
+	octets := chunk.Payload
+	if length := int(chunk.Length) - 16; length >= 0 && length <= len(octets) {
+		return octets[:length]
 	}
-	return b
+	return octets
 }
--- a/record/record.go
+++ b/record/record.go
@@ -1,5 +1,6 @@
-// Package record keeps what stand-ins see on their sockets: every frame with its time, link and direction, and marks of
-// what was done to them. The checker of the rules reads it; the controllers have no part in it.
+// Package record records the traffic of a run at the sockets of the emulated switches and clients: every frame with its time,
+// link and direction, and events such as injected faults. The checker of the rules evaluates the recording; the controllers do
+// not take part in it.
 package record
 
 import (
@@ -8,45 +9,46 @@
 	"time"
 )
 
-// LinkKind tells what a link joins.
+// LinkKind is the kind of a link, by what is at its far end.
 type LinkKind uint8
 
-// The kinds of links. All have a controller at one end.
+// The kinds of links. Each link connects a controller to one of these.
 const (
 	ClientLink LinkKind = iota // a client
 	FarLink                    // the switch of another exchange
-	OwnLink                    // the own switch
+	OwnLink                    // the switch of the controller's own exchange
 )
 
 // Link is one connection.
 type Link struct {
 	Kind       LinkKind
 	Controller uint32        // point code of the controller's exchange
-	Switch     uint32        // of the switch
-	Opened     time.Duration // when traffic could flow
-	Closed     time.Duration // 0: open to the end
+	Switch     uint32        // point code of the switch; 0 for a client
+	Opened     time.Duration // when the association became active
+	Closed     time.Duration // 0: open until the end of the recording
 }
 
-// Frame is one M3UA frame. At is the time at which the stand-in read it from its socket, or was about to write it there.
+// Frame is one M3UA frame. At is the time at which the emulated switch or client read it from its socket, or was about to
+// write it.
 type Frame struct {
 	At   time.Duration
 	Link int32
-	In   bool // read by the stand-in: sent by the controller
+	In   bool // sent by the controller, read by the emulated switch or client
 	Data []byte
 }
 
-// EventKind is what was done.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// The marks.
+// The kinds of events.
 const (
-	Started EventKind = iota // a switch's processor started; Value: set-ups a second that it can take when warm
-	Stopped                  // ... stopped
-	Stalled                  // a controller was stopped for Span
-	Fault                    // a trouble of the day, for Span; Name
+	Started EventKind = iota // a switch was started; Value: set-ups a second that it can handle when warm
+	Stopped                  // a switch was stopped
+	Stalled                  // a controller is stalled for Span
+	Fault                    // a fault of the scenario begins and lasts for Span; Name is its kind
 )
 
-// Event is one thing done.
+// Event is something done to a switch or a controller.
 type Event struct {
 	At    time.Duration
 	Kind  EventKind
@@ -57,78 +59,78 @@
 	Name  string
 }
 
-// Log is the record of a day. It is safe for concurrent use.
+// Log collects the recording of a run. It is safe for concurrent use.
 type Log struct {
-	mu     sync.Mutex
-	start  time.Time
-	links  []Link
-	frames []Frame
-	marks  []Event
-	arena  []byte
-	off    bool
+	mu            sync.Mutex
+	start         time.Time
+	links         []Link
+	frames        []Frame
+	events        []Event
+	arena         []byte
+	discardFrames bool
 }
 
-// New makes a Log whose times count from now.
+// New creates a Log whose times count from now.
 func New() *Log { return &Log{start: time.Now()} }
 
-// Now is the time of the log's clock.
+// Now returns the time since the start of the log.
 func (l *Log) Now() time.Duration { return time.Since(l.start) }
 
-// Discard lets the log keep no frames, for runs that nobody judges.
+// Discard makes the log drop all further frames, for runs that are not checked.
 func (l *Log) Discard() {
 	l.mu.Lock()
-	l.off = true
+	l.discardFrames = true
 	l.mu.Unlock()
 }
 
-// Open notes a new link and returns its number.
-func (l *Log) Open(k LinkKind, controller, sw uint32) int32 {
+// Open records a new link and returns its number.
+func (l *Log) Open(kind LinkKind, controller, switchPC uint32) int32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.links = append(l.links, Link{Kind: k, Controller: controller, Switch: sw, Opened: l.Now()})
+	l.links = append(l.links, Link{Kind: kind, Controller: controller, Switch: switchPC, Opened: l.Now()})
 	return int32(len(l.links) - 1)
 }
 
-// Kind is the kind of a link.
+// Kind returns the kind of a link.
 func (l *Log) Kind(link int32) LinkKind {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.links[link].Kind
 }
 
-// Close notes the end of a link.
+// Close records the end of a link, at the first call for it.
 func (l *Log) Close(link int32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if x := &l.links[link]; x.Closed == 0 {
-		x.Closed = l.Now()
+	if closing := &l.links[link]; closing.Closed == 0 {
+		closing.Closed = l.Now()
 	}
 }
 
-// Frame notes a frame, which is copied.
-func (l *Log) Frame(link int32, in bool, data []byte) {
+// Frame records a copy of a frame.
+func (l *Log) Frame(link int32, fromController bool, data []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.off {
+	if l.discardFrames {
 		return
 	}
 	if cap(l.arena)-len(l.arena) < len(data) {
 		l.arena = make([]byte, 0, max(1<<20, len(data)))
 	}
-	at := len(l.arena)
+	offset := len(l.arena)
 	l.arena = append(l.arena, data...)
-	l.frames = append(l.frames, Frame{l.Now(), link, in, l.arena[at:len(l.arena):len(l.arena)]})
+	l.frames = append(l.frames, Frame{l.Now(), link, fromController, l.arena[offset:len(l.arena):len(l.arena)]})
 }
 
-// Event notes something done now.
-func (l *Log) Event(m Event) {
+// Event records an event with the current time.
+func (l *Log) Event(event Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m.At = l.Now()
-	l.marks = append(l.marks, m)
+	event.At = l.Now()
+	l.events = append(l.events, event)
 }
 
-// Recording is a finished record: all by time.
+// Recording is a finished recording, with frames and events sorted by time.
 type Recording struct {
 	Links  []Link
 	Frames []Frame
@@ -136,12 +138,12 @@
 	End    time.Duration
 }
 
-// Finish ends the record.
+// Finish returns the recording up to now.
 func (l *Log) Finish() Recording {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := Recording{slices.Clone(l.links), slices.Clone(l.frames), slices.Clone(l.marks), l.Now()}
-	slices.SortStableFunc(d.Frames, func(a, b Frame) int { return int(a.At - b.At) })
-	slices.SortStableFunc(d.Events, func(a, b Event) int { return int(a.At - b.At) })
-	return d
+	recording := Recording{slices.Clone(l.links), slices.Clone(l.frames), slices.Clone(l.events), l.Now()}
+	slices.SortStableFunc(recording.Frames, func(a, b Frame) int { return int(a.At - b.At) })
+	slices.SortStableFunc(recording.Events, func(a, b Event) int { return int(a.At - b.At) })
+	return recording
 }
