--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -1,6 +1,6 @@
-// Package load offers calls to a running controller and measures what becomes of them. Arrivals are open: a call comes when
-// its time is there, whatever became of those before, and its set-up time counts from that time, so a controller that stands
-// still is not spared the calls that would have come meanwhile (coordinated omission).
+// Package load is a load generator: it offers calls to a running controller and measures their outcomes. It works as an open
+// loop: a call is made when it is due, whatever became of earlier ones, and its set-up time counts from when it was due. So the
+// calls that fall due while the controller is stalled are still measured (no coordinated omission).
 package load
 
 import (
@@ -13,17 +13,17 @@
 	"github.com/umbergauge/umbergauge/internal/config"
 )
 
-// Config is one load, from YAML. docs/operations/load.md explains each key.
+// Config configures one load, from YAML. docs/operations/load.md explains each key.
 type Config struct {
-	Controller string        `yaml:"controller"` // address of its listener
-	PointCode  uint32        `yaml:"point_code"` // of the first client; each connection has the next one
+	Controller string        `yaml:"controller"` // address of the controller's listener
+	PointCode  uint32        `yaml:"point_code"` // of the first client; each further client has the next one
 	Exchange   uint32        `yaml:"exchange"`   // point code of the controller's exchange
-	Clients    int           `yaml:"clients"`    // connections
+	Clients    int           `yaml:"clients"`    // number of clients, with one connection each
 	Seed       uint64        `yaml:"seed"`
 	Span       time.Duration `yaml:"span"`
 	Rate       float64       `yaml:"rate"` // calls a second, all clients together
 	Process    string        `yaml:"process"`
-	Record     string        `yaml:"record"` // CSV of a recorded process, beside the load's file
+	Record     string        `yaml:"record"` // CSV file of recorded calls, relative to the load's file
 	Burst      Burst         `yaml:"burst"`
 	Classes    []Class       `yaml:"classes"`
 	Numbers    []Numbers     `yaml:"numbers"`
@@ -31,91 +31,91 @@
 	Redial     time.Duration `yaml:"redial_after"`
 
 	recorded    []Arrival
-	part, parts int // of the recorded calls every so manieth is this process's
+	part, parts int // this process offers every parts-th recorded call, from number part on
 }
 
-// Burst multiplies the rate now and then.
+// Burst multiplies the rate by Times for a duration at regular intervals.
 type Burst struct {
 	Every time.Duration `yaml:"every"`
 	For   time.Duration `yaml:"for"`
 	Times float64       `yaml:"times"`
 }
 
-// Class is one class of calls.
+// Class describes one class of calls.
 type Class struct {
 	Name     string        `yaml:"name"`
 	Share    float64       `yaml:"share"`
 	Category int           `yaml:"category"`
-	Hold     time.Duration `yaml:"hold"`     // on average
-	Patience time.Duration `yaml:"patience"` // of a try, till it rings or is answered
-	Ring     time.Duration `yaml:"ring"`     // it is let ring so long; 0: a minute
+	Hold     time.Duration `yaml:"hold"`     // mean time from answer to release by the caller
+	Patience time.Duration `yaml:"patience"` // an attempt neither alerted nor answered within this is abandoned
+	Ring     time.Duration `yaml:"ring"`     // an alerted call not answered within this is abandoned; 0: a minute
 }
 
-// Numbers are called numbers: a prefix and as many random digits as are missing to the length.
+// Numbers describes called numbers: a prefix, filled up to the length with random digits.
 type Numbers struct {
 	Prefix string  `yaml:"prefix"`
 	Length int     `yaml:"length"`
 	Share  float64 `yaml:"share"`
 }
 
-// Default has the values of keys that a file may leave out.
+// Default returns the values of the keys that a file may leave out.
 func Default() Config {
 	return Config{PointCode: 9000, Clients: 1, Seed: 1, Span: 10 * time.Second, Rate: 10, Process: "poisson", Redial: time.Second,
 		Classes: []Class{{"ordinary", 1, 10, 5 * time.Second, 3 * time.Second, time.Minute}}}
 }
 
-// Load reads and checks a file. The error is config.Faults, or that of reading the file.
+// Load reads and checks a file. The error is a config.Faults, or the error of reading the file.
 func Load(path string) (*Config, error) {
-	b, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	c, err := Parse(path, b)
-	if err == nil && c.Record != "" {
-		err = c.openRecord(path)
+	cfg, err := Parse(path, data)
+	if err == nil && cfg.Record != "" {
+		err = cfg.openRecord(path)
 	}
-	return c, err
+	return cfg, err
 }
 
-// Parse reads and checks a load; name stands in its errors.
-func Parse(name string, b []byte) (*Config, error) {
-	c := Default()
-	if err := config.Decode(name, b, &c); err != nil {
+// Parse reads and checks the content of a file; errors name the file by name.
+func Parse(name string, data []byte) (*Config, error) {
+	cfg := Default()
+	if err := config.Decode(name, data, &cfg); err != nil {
 		return nil, err
 	}
-	v := config.NewChecker(name, b)
-	v.Must(c.Controller != "", "controller", "is missing: the address of the controller's listener")
-	v.Must(c.Exchange > 0, "exchange", "is missing: the point code of the controller's exchange")
-	v.Must(c.PointCode > 0 && c.PointCode+uint32(max(0, c.Clients)) < 1<<14, "point_code", "%d; point codes of %d clients must be below 16384", c.PointCode, c.Clients)
-	v.Must(c.Clients >= 1 && c.Clients <= 4096, "clients", "%d; 1 to 4096 can be", c.Clients)
-	v.Must(c.Span > 0 && c.Span <= 24*time.Hour, "span", "%v; above 0 to 24h can be", c.Span)
-	v.Must(c.Rate > 0 && c.Rate <= 1e6, "rate", "%v; above 0 to a million can be", c.Rate)
-	v.Must(c.Process == "poisson" || c.Process == "uniform" || c.Process == "recorded", "process", "%q; poisson, uniform or recorded can be", c.Process)
-	v.Must((c.Process == "recorded") == (c.Record != ""), "record", "a file and the process recorded belong together")
-	v.Must(c.Burst.Every == 0 || c.Burst.Every > 0 && c.Burst.For > 0 && c.Burst.For <= c.Burst.Every && c.Burst.Times > 0, "burst", "every, for and times belong together, and for is at most every")
-	v.Must(len(c.Classes) > 0 && len(c.Classes) < 100, "classes", "%d classes; 1 to 99 can be", len(c.Classes))
-	for i, x := range c.Classes {
+	checker := config.NewChecker(name, data)
+	checker.Must(cfg.Controller != "", "controller", "is missing: the address of the controller's listener")
+	checker.Must(cfg.Exchange > 0, "exchange", "is missing: the point code of the controller's exchange")
+	checker.Must(cfg.PointCode > 0 && cfg.PointCode+uint32(max(0, cfg.Clients)) < 1<<14, "point_code", "%d out of range: point codes of all %d clients must be above 0 and below 16384", cfg.PointCode, cfg.Clients)
+	checker.Must(cfg.Clients >= 1 && cfg.Clients <= 4096, "clients", "%d out of range [1, 4096]", cfg.Clients)
+	checker.Must(cfg.Span > 0 && cfg.Span <= 24*time.Hour, "span", "%v out of range (0, 24h]", cfg.Span)
+	checker.Must(cfg.Rate > 0 && cfg.Rate <= 1e6, "rate", "%v out of range (0, 1000000]", cfg.Rate)
+	checker.Must(cfg.Process == "poisson" || cfg.Process == "uniform" || cfg.Process == "recorded", "process", "%q is not one of poisson, uniform, recorded", cfg.Process)
+	checker.Must((cfg.Process == "recorded") == (cfg.Record != ""), "record", "must be set if process is recorded, and only then")
+	checker.Must(cfg.Burst.Every == 0 || cfg.Burst.Every > 0 && cfg.Burst.For > 0 && cfg.Burst.For <= cfg.Burst.Every && cfg.Burst.Times > 0, "burst", "every, for and times must be set together, and for must not exceed every")
+	checker.Must(len(cfg.Classes) > 0 && len(cfg.Classes) < 100, "classes", "%d classes, out of range [1, 99]", len(cfg.Classes))
+	for i, x := range cfg.Classes {
 		key := func(k string) string { return fmt.Sprintf("classes[%d].%s", i, k) }
-		v.Must(x.Share > 0, key("share"), "%v; it must be above 0", x.Share)
-		v.Must(x.Category >= 0 && x.Category < 256, key("category"), "%d is no calling party's category", x.Category)
-		v.Must(x.Hold > 0, key("hold"), "%v; it must be above 0", x.Hold)
-		v.Must(x.Patience > 0, key("patience"), "%v; it must be above 0", x.Patience)
-		v.Must(x.Ring >= 0 && x.Ring <= 10*time.Minute, key("ring"), "%v; 0 to 10m can be", x.Ring)
+		checker.Must(x.Share > 0, key("share"), "%v must be above 0", x.Share)
+		checker.Must(x.Category >= 0 && x.Category < 256, key("category"), "%d is not a calling party's category (0 to 255)", x.Category)
+		checker.Must(x.Hold > 0, key("hold"), "%v must be above 0", x.Hold)
+		checker.Must(x.Patience > 0, key("patience"), "%v must be above 0", x.Patience)
+		checker.Must(x.Ring >= 0 && x.Ring <= 10*time.Minute, key("ring"), "%v out of range [0, 10m]", x.Ring)
 		if x.Ring == 0 {
-			c.Classes[i].Ring = time.Minute
+			cfg.Classes[i].Ring = time.Minute
 		}
 	}
-	v.Must(len(c.Numbers) > 0 || c.Record != "", "numbers", "is missing: what is dialled")
-	for i, x := range c.Numbers {
+	checker.Must(len(cfg.Numbers) > 0 || cfg.Record != "", "numbers", "is missing: at least one entry of called numbers is needed")
+	for i, x := range cfg.Numbers {
 		key := fmt.Sprintf("numbers[%d]", i)
-		v.Must(x.Share > 0, key+".share", "%v; it must be above 0", x.Share)
-		v.Must(x.Length >= len(x.Prefix) && x.Length >= 1 && x.Length <= 24, key+".length", "%d; the prefix has %d digits and a number at most 24", x.Length, len(x.Prefix))
+		checker.Must(x.Share > 0, key+".share", "%v must be above 0", x.Share)
+		checker.Must(x.Length >= len(x.Prefix) && x.Length >= 1 && x.Length <= 24, key+".length", "%d out of range: the prefix has %d digits and a number at most 24", x.Length, len(x.Prefix))
 	}
-	v.Must(c.Redials >= 0 && c.Redials <= 20, "redials", "%d; 0 to 20 can be", c.Redials)
-	return &c, v.Err()
+	checker.Must(cfg.Redials >= 0 && cfg.Redials <= 20, "redials", "%d out of range [0, 20]", cfg.Redials)
+	return &cfg, checker.Err()
 }
 
-// Arrival is one call.
+// Arrival is one call to offer, at a time from the start of the load.
 type Arrival struct {
 	At     time.Duration
 	Class  int
@@ -124,28 +124,29 @@
 	Hold   time.Duration
 }
 
-// Arrivals draws calls one after the other; the same seed gives the same calls. It reads no clock.
+// Arrivals generates the calls of a load in order; the same seed gives the same calls. It reads no clock.
 type Arrivals struct {
-	c       *Config
-	rng     *rand.Rand
-	at      time.Duration
-	classes []float64
-	numbers []float64
-	read    int // of the record
+	cfg          *Config
+	rng          *rand.Rand
+	at           time.Duration
+	classShares  []float64
+	numberShares []float64
+	nextRow      int // next call of the recorded ones
 }
 
-// NewArrivals makes the arrivals of a load.
-func NewArrivals(c *Config) *Arrivals {
-	a := &Arrivals{c: c, rng: rand.New(rand.NewPCG(c.Seed, 0))}
-	for _, x := range c.Classes {
-		a.classes = append(a.classes, x.Share)
+// NewArrivals creates the generator of the calls of a load.
+func NewArrivals(cfg *Config) *Arrivals {
+	a := &Arrivals{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0))}
+	for _, x := range cfg.Classes {
+		a.classShares = append(a.classShares, x.Share)
 	}
-	for _, x := range c.Numbers {
-		a.numbers = append(a.numbers, x.Share)
+	for _, x := range cfg.Numbers {
+		a.numberShares = append(a.numberShares, x.Share)
 	}
 	return a
 }
 
+// pick draws an index with probabilities proportional to the shares.
 func (a *Arrivals) pick(shares []float64) int {
 	sum := 0.0
 	for _, s := range shares {
@@ -160,29 +161,29 @@
 	return len(shares) - 1
 }
 
-// Next is the next call; ok is false at the end of the span.
+// Next returns the next call; ok is false at the end of the span.
 func (a *Arrivals) Next() (next Arrival, ok bool) {
-	if a.c.Process == "recorded" {
+	if a.cfg.Process == "recorded" {
 		return a.nextRecorded()
 	}
-	rate := a.c.Rate
-	if b := a.c.Burst; b.Every > 0 && a.at%b.Every < b.For {
-		rate *= b.Times
+	rate := a.cfg.Rate
+	if burst := a.cfg.Burst; burst.Every > 0 && a.at%burst.Every < burst.For {
+		rate *= burst.Times
 	}
 	gap := 1 / rate
-	if a.c.Process == "poisson" {
+	if a.cfg.Process == "poisson" {
 		gap *= a.rng.ExpFloat64()
 	}
 	a.at += time.Duration(gap * float64(time.Second))
-	if a.at >= a.c.Span {
+	if a.at >= a.cfg.Span {
 		return next, false
 	}
-	n := a.c.Numbers[a.pick(a.numbers)]
-	called := slices.Grow([]byte(n.Prefix), n.Length)
-	for len(called) < n.Length {
+	numbers := a.cfg.Numbers[a.pick(a.numberShares)]
+	called := slices.Grow([]byte(numbers.Prefix), numbers.Length)
+	for len(called) < numbers.Length {
 		called = append(called, byte('0'+a.rng.IntN(10)))
 	}
-	class := a.pick(a.classes)
-	return Arrival{At: a.at, Class: class, Client: a.rng.IntN(a.c.Clients), Called: string(called),
-		Hold: time.Duration(a.rng.ExpFloat64() * float64(a.c.Classes[class].Hold))}, true
+	class := a.pick(a.classShares)
+	return Arrival{At: a.at, Class: class, Client: a.rng.IntN(a.cfg.Clients), Called: string(called),
+		Hold: time.Duration(a.rng.ExpFloat64() * float64(a.cfg.Classes[class].Hold))}, true
 }
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -18,7 +18,7 @@
 	"github.com/umbergauge/umbergauge/record"
 )
 
-const good = `
+const validLoad = `
 controller: 127.0.0.1:2905
 exchange: 1
 rate: 50
@@ -32,9 +32,10 @@
 burst: {every: 10s, for: 2s, times: 3}
 `
 
+// parse parses validLoad with texts replaced, given as pairs of old and new text.
 func parse(t *testing.T, change ...string) *Config {
 	t.Helper()
-	text := good
+	text := validLoad
 	for i := 0; i < len(change); i += 2 {
 		text = strings.Replace(text, change[i], change[i+1], 1)
 	}
@@ -45,154 +46,157 @@
 	return c
 }
 
-func TestArrivals(t *testing.T) {
+// Guards against arrivals that miss the configured rate, bursts, shares or spacing, or that differ between runs with one seed.
+func TestArrivalsFollowConfiguredRateSharesAndSeed(t *testing.T) {
 	c := parse(t, "span: 20s", "span: 200s")
-	draw := func() (n, burst, storm, two int, last Arrival) {
-		for a := NewArrivals(c); ; n++ {
+	draw := func() (calls, inBurst, stormCalls, toTwo int, last Arrival) {
+		for a := NewArrivals(c); ; calls++ {
 			x, ok := a.Next()
 			if !ok {
 				return
 			}
 			if x.At < last.At {
-				t.Fatal("out of order")
+				t.Fatal("arrivals are out of order")
 			}
 			if last = x; x.At%(10*time.Second) < 2*time.Second {
-				burst++
+				inBurst++
 			}
 			if x.Class == 1 {
-				storm++
+				stormCalls++
 			}
 			if x.Called[0] == '2' {
-				two++
+				toTwo++
 			}
 			if len(x.Called) != 6 {
 				t.Fatal(x.Called)
 			}
 		}
 	}
-	n, burst, storm, two, last := draw()
-	near := func(what string, got, want float64) {
+	calls, inBurst, stormCalls, toTwo, last := draw()
+	checkNear := func(what string, got, want float64) {
 		if math.Abs(got-want) > 0.1*want {
 			t.Errorf("%s: %.3f, want %.3f", what, got, want)
 		}
 	}
-	near("calls", float64(n), 50*200*1.4)
-	near("share in bursts", float64(burst)/float64(n), 0.6/1.4)
-	near("storm calls", float64(storm)/float64(n), 0.1)
-	near("calls to 2", float64(two)/float64(n), 0.75)
-	if m, _, _, _, again := draw(); m != n || again != last {
-		t.Error("the same seed gives other calls")
+	checkNear("calls", float64(calls), 50*200*1.4)
+	checkNear("share in bursts", float64(inBurst)/float64(calls), 0.6/1.4)
+	checkNear("storm calls", float64(stormCalls)/float64(calls), 0.1)
+	checkNear("calls to 2", float64(toTwo)/float64(calls), 0.75)
+	if callsAgain, _, _, _, again := draw(); callsAgain != calls || again != last {
+		t.Error("the same seed gave different calls")
 	}
-	u := parse(t, "span: 20s", "span: 10s\nprocess: uniform", "burst: {every: 10s, for: 2s, times: 3}", "")
-	k := 0
-	for a := NewArrivals(u); ; k++ {
+	uniform := parse(t, "span: 20s", "span: 10s\nprocess: uniform", "burst: {every: 10s, for: 2s, times: 3}", "")
+	count := 0
+	for a := NewArrivals(uniform); ; count++ {
 		if _, ok := a.Next(); !ok {
 			break
 		}
 	}
-	if k != 499 {
-		t.Errorf("%d calls at 50 a second in 10 s", k)
+	if count != 499 {
+		t.Errorf("%d uniform calls at 50 a second in 10 s, want 499", count)
 	}
 }
 
-func TestFaults(t *testing.T) {
+// Guards against an invalid value that is accepted, or reported without its key and place.
+func TestParseReportsKeyOfInvalidValue(t *testing.T) {
 	for _, x := range [][3]string{{"rate: 50", "rate: 0", "l.yaml:4:7: rate"}, {"exchange: 1", "exchnge: 1", "l.yaml:3:1: exchnge"},
 		{"length: 6, share: 3", "length: 0, share: 3", "numbers[0].length"}, {"hold: 2s", "hold: 0s", "classes[0].hold"},
 		{"for: 2s", "for: 20s", "burst"}, {"span: 20s", "process: chaos", "process"}} {
-		_, err := Parse("l.yaml", []byte(strings.Replace(good, x[0], x[1], 1)))
+		_, err := Parse("l.yaml", []byte(strings.Replace(validLoad, x[0], x[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), x[2]) {
-			t.Errorf("%s: %v", x[1], err)
+			t.Errorf("with %s: unexpected error %v", x[1], err)
 		}
 	}
 }
 
-// A load on a real controller with a stand-in switch, in exact time; in the middle the controller stands still for two
-// seconds, and the calls due meanwhile count from when they were due.
-func TestLoad(t *testing.T) {
+// Guards against coordinated omission: a controller stalled for 2 s must show set-up times of nearly that, because calls due
+// meanwhile count from when they were due. Runs a real controller with emulated switches in virtual time.
+func TestStallCountsTowardsSetUpTime(t *testing.T) {
 	for _, stall := range []time.Duration{0, 2 * time.Second} {
-		rep := offer(t, stall, emulator.Ringing{})
-		k := rep.Totals
-		if k.Offered < 1200 || k.Tries != k.Offered || k.Answered+k.Refused+k.Abandoned != k.Offered || k.Causes["1"] < 250 || k.Finished+k.Cut != k.Answered {
-			t.Errorf("%+v", k)
+		report := runLoad(t, stall, emulator.Ringing{})
+		totals := report.Totals
+		if totals.Offered < 1200 || totals.Tries != totals.Offered || totals.Answered+totals.Refused+totals.Abandoned != totals.Offered || totals.Causes["1"] < 250 || totals.Finished+totals.Cut != totals.Answered {
+			t.Errorf("outcomes do not add up, or too few calls: totals %+v", totals)
 		}
-		if stall == 0 && rep.SetUpUS.P99 > 50_000 {
-			t.Errorf("set-up %+v", rep.SetUpUS)
+		if stall == 0 && report.SetUpUS.P99 > 50_000 {
+			t.Errorf("set-up times %+v without a stall, want p99 of at most 50 ms", report.SetUpUS)
 		}
-		if stall > 0 && rep.SetUpUS.Max < 1_500_000 {
-			t.Errorf("the longest set-up is %d us after a stop of %v", rep.SetUpUS.Max, stall)
+		if stall > 0 && report.SetUpUS.Max < 1_500_000 {
+			t.Errorf("the longest set-up time is %d us with a stall of %v, want at least 1500000 us", report.SetUpUS.Max, stall)
 		}
-		if rep.LateUS.Max > 2000 {
-			t.Errorf("its own lateness: %+v", rep.LateUS)
+		if report.LateUS.Max > 2000 {
+			t.Errorf("scheduling delay of the load: %+v, want at most 2000 us", report.LateUS)
 		}
 	}
 }
 
-// Numbers that ring four seconds, one in ten unanswered: set-up counts to ACM, the answer with the ringing, and callers leave
-// when they have let it ring long enough.
-func TestLoadOfRingingNumbers(t *testing.T) {
-	rep := offer(t, 0, emulator.Ringing{Median: 4 * time.Second, NoAnswer: 0.1})
-	k := rep.Totals
-	if k.Answered+k.Refused+k.Abandoned+k.AbandonedRinging != k.Offered || k.AbandonedRinging+k.Causes["19"] < 60 || k.Alerted < k.Answered+k.AbandonedRinging {
-		t.Errorf("%+v", k)
+// Guards against ringing that counts as set-up time, and calls that ring unanswered for ever: numbers ring for 4 s, one call in ten
+// is not answered. Set-up time must end at ACM, answer time include the ringing, and callers abandon after the ringing limit.
+func TestRingingNumbersCountSetUpToACM(t *testing.T) {
+	report := runLoad(t, 0, emulator.Ringing{Median: 4 * time.Second, NoAnswer: 0.1})
+	totals := report.Totals
+	if totals.Answered+totals.Refused+totals.Abandoned+totals.AbandonedRinging != totals.Offered || totals.AbandonedRinging+totals.Causes["19"] < 60 || totals.Alerted < totals.Answered+totals.AbandonedRinging {
+		t.Errorf("outcomes do not add up, or too few calls: totals %+v", totals)
 	}
-	if rep.SetUpUS.P99 > 50_000 || rep.AnswerUS.P50 < 4_000_000 || rep.AnswerUS.Max > 4_100_000 {
-		t.Errorf("set-up %+v, answer %+v", rep.SetUpUS, rep.AnswerUS)
+	if report.SetUpUS.P99 > 50_000 || report.AnswerUS.P50 < 4_000_000 || report.AnswerUS.Max > 4_100_000 {
+		t.Errorf("set-up times %+v, want p99 of at most 50 ms; answer times %+v, want 4 to 4.1 s", report.SetUpUS, report.AnswerUS)
 	}
-	offered, stood := 0, 0
-	for _, s := range rep.Seconds {
-		offered, stood = offered+int(s.Offered), stood+int(s.Answered)
+	offered, answered := 0, 0
+	for _, s := range report.Seconds {
+		offered, answered = offered+int(s.Offered), answered+int(s.Answered)
 	}
-	if offered != int(k.Offered) || stood != int(k.Answered) {
-		t.Errorf("by second %d and %d, of %d and %d", offered, stood, k.Offered, k.Answered)
+	if offered != int(totals.Offered) || answered != int(totals.Answered) {
+		t.Errorf("sums over the seconds: %d offered and %d answered, want %d and %d", offered, answered, totals.Offered, totals.Answered)
 	}
 }
 
-// offer runs the load against a controller and two switches in exact time.
-func offer(t *testing.T, stall time.Duration, ringing emulator.Ringing) (rep Report) {
+// runLoad runs validLoad against a controller and two emulated switches in virtual time; the controller stalls after 8 s if stall is
+// above 0.
+func runLoad(t *testing.T, stall time.Duration, ringing emulator.Ringing) (report Report) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &memnet.Network{}
-		w := &emulator.Network{Dial: n.Dial, Listen: n.Listen, Log: record.New()}
-		c := config.Default()
-		c.Exchange, c.Listen = 1, "127.0.0.1:0"
-		c.Classes = []config.Class{{Name: "a", Aim: 1500 * time.Millisecond, Patience: 3 * time.Second, Worth: 1}}
+		network := &memnet.Network{}
+		emulated := &emulator.Network{Dial: network.Dial, Listen: network.Listen, Log: record.New()}
+		cfg := config.Default()
+		cfg.Exchange, cfg.Listen = 1, "127.0.0.1:0"
+		cfg.Classes = []config.Class{{Name: "a", Aim: 1500 * time.Millisecond, Patience: 3 * time.Second, Worth: 1}}
 		var switches []*emulator.Switch
 		for pc := uint32(1); pc <= 2; pc++ {
-			s := emulator.NewSwitch(w, emulator.SwitchConfig{PC: pc, Prefixes: []string{string(rune('0' + pc))}, Circuits: map[uint32]int{3 - pc: 2000}, Rate: 1000,
+			sw := emulator.NewSwitch(emulated, emulator.SwitchConfig{PC: pc, Prefixes: []string{string(rune('0' + pc))}, Circuits: map[uint32]int{3 - pc: 2000}, Rate: 1000,
 				Ringing: map[isup.Category]emulator.Ringing{10: ringing, 11: ringing}})
-			addr, err := s.Start("127.0.0.1:0", false)
+			addr, err := sw.Start("127.0.0.1:0", false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			switches = append(switches, s)
-			x := config.Exchange{PointCode: pc, Switch: []string{addr}, Prefixes: []string{string(rune('0' + pc))}}
+			switches = append(switches, sw)
+			exchange := config.Exchange{PointCode: pc, Switch: []string{addr}, Prefixes: []string{string(rune('0' + pc))}}
 			if pc == 2 {
-				x.Circuits = 2000
+				exchange.Circuits = 2000
 			}
-			c.Exchanges = append(c.Exchanges, x)
+			cfg.Exchanges = append(cfg.Exchanges, exchange)
 		}
-		d, err := daemon.New(daemon.Options{Config: &c, Log: zerolog.Nop(), Dial: n.Dial, Listen: n.Listen})
+		controller, err := daemon.New(daemon.Options{Config: &cfg, Log: zerolog.Nop(), Dial: network.Dial, Listen: network.Listen})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
-		go func() { done <- d.Run(ctx) }()
-		for !d.Ready(ctx) {
+		go func() { done <- controller.Run(ctx) }()
+		for !controller.Ready(ctx) {
 			time.Sleep(10 * time.Millisecond)
 		}
-		l := parse(t, "127.0.0.1:2905", d.Addr(), "rate: 50", "rate: 50\nclients: 5")
+		loadCfg := parse(t, "127.0.0.1:2905", controller.Addr(), "rate: 50", "rate: 50\nclients: 5")
 		if stall > 0 {
-			time.AfterFunc(8*time.Second, func() { d.Stall(ctx, stall) })
+			time.AfterFunc(8*time.Second, func() { controller.Stall(ctx, stall) })
 		}
-		rep, err = Run(ctx, l, Options{Dial: n.Dial})
+		report, err = Run(ctx, loadCfg, Options{Dial: network.Dial})
 		if err != nil {
 			t.Fatal(err)
 		}
 		cancel()
 		<-done
-		for _, s := range switches {
-			s.Close()
+		for _, sw := range switches {
+			sw.Close()
 		}
 	})
-	return rep
+	return report
 }
--- a/load/parts.go
+++ b/load/parts.go
@@ -8,70 +8,70 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Part is the share of a load that one of n processes offers: its clients, its part of the rate and a seed of its own. Poisson
-// arrivals of n parts are Poisson arrivals of the whole.
+// Part returns the part of a load that process i of n offers: a share of the clients, the same share of the rate, and its own
+// seed. The Poisson arrivals of n parts together are Poisson arrivals of the whole load.
 func (c *Config) Part(i, n int) (*Config, error) {
 	if n < 1 || i < 0 || i >= n {
-		return nil, fmt.Errorf("load: part %d of %d", i, n)
+		return nil, fmt.Errorf("load: invalid part %d of %d: parts count from 0", i, n)
 	}
 	if n > c.Clients {
-		return nil, fmt.Errorf("load: %d processes for %d clients: each needs one at the least", n, c.Clients)
+		return nil, fmt.Errorf("load: %d processes for %d clients: each process needs at least one client", n, c.Clients)
 	}
-	p := *c
+	share := *c
 	first := i * c.Clients / n
-	p.Clients = (i+1)*c.Clients/n - first
-	p.PointCode += uint32(first)
-	p.Rate = c.Rate * float64(p.Clients) / float64(c.Clients)
-	p.Seed = c.Seed + uint64(i)<<32
-	p.part, p.parts = i, n
-	return &p, nil
+	share.Clients = (i+1)*c.Clients/n - first
+	share.PointCode += uint32(first)
+	share.Rate = c.Rate * float64(share.Clients) / float64(c.Clients)
+	share.Seed = c.Seed + uint64(i)<<32
+	share.part, share.parts = i, n
+	return &share, nil
 }
 
-// Histograms are those of a report, so that reports of several processes can be merged: quantiles cannot.
+// Histograms are the histograms of a report. Reports of several processes are merged from them, since quantiles cannot be merged.
 type Histograms struct {
 	SetUp  *hdrhistogram.Snapshot `json:"set_up"`
 	Answer *hdrhistogram.Snapshot `json:"answer"`
 	Late   *hdrhistogram.Snapshot `json:"late"`
 }
 
-// Merge makes one report of those of several parts of a load.
+// Merge combines the reports of all parts of a load.
 func Merge(parts []Report) (Report, error) {
 	if len(parts) == 0 {
-		return Report{}, errors.New("load: no parts")
+		return Report{}, errors.New("load: no reports to merge")
 	}
 	out := Report{Totals: Totals{Causes: map[string]uint64{}}}
 	var merged [3]*hdrhistogram.Histogram
-	for i, p := range parts {
-		if p.Histograms == nil {
-			return Report{}, fmt.Errorf("load: part %d has no histograms", i)
+	for i, part := range parts {
+		if part.Histograms == nil {
+			return Report{}, fmt.Errorf("load: report of part %d has no histograms", i)
 		}
-		out.Span = max(out.Span, p.Span)
-		out.OfferedPerSecond += p.OfferedPerSecond
-		t, o := &p.Totals, &out.Totals
-		for _, x := range []struct{ to, from *uint64 }{{&o.Offered, &t.Offered}, {&o.Tries, &t.Tries}, {&o.Alerted, &t.Alerted}, {&o.Answered, &t.Answered},
-			{&o.Refused, &t.Refused}, {&o.Abandoned, &t.Abandoned}, {&o.AbandonedRinging, &t.AbandonedRinging}, {&o.Cut, &t.Cut}, {&o.Finished, &t.Finished},
-			{&o.NotConnected, &t.NotConnected}, {&o.NoCircuit, &t.NoCircuit}, {&o.CongestionReports, &t.CongestionReports}} {
-			*x.to += *x.from
+		out.Span = max(out.Span, part.Span)
+		out.OfferedPerSecond += part.OfferedPerSecond
+		totals, sum := &part.Totals, &out.Totals
+		for _, counter := range []struct{ to, from *uint64 }{{&sum.Offered, &totals.Offered}, {&sum.Tries, &totals.Tries}, {&sum.Alerted, &totals.Alerted}, {&sum.Answered, &totals.Answered},
+			{&sum.Refused, &totals.Refused}, {&sum.Abandoned, &totals.Abandoned}, {&sum.AbandonedRinging, &totals.AbandonedRinging}, {&sum.Cut, &totals.Cut}, {&sum.Finished, &totals.Finished},
+			{&sum.NotConnected, &totals.NotConnected}, {&sum.NoCircuit, &totals.NoCircuit}, {&sum.CongestionReports, &totals.CongestionReports}} {
+			*counter.to += *counter.from
 		}
-		for cause := range maps.Keys(t.Causes) {
-			o.Causes[cause] += t.Causes[cause]
+		for cause := range maps.Keys(totals.Causes) {
+			sum.Causes[cause] += totals.Causes[cause]
 		}
-		for len(out.Seconds) < len(p.Seconds) {
+		for len(out.Seconds) < len(part.Seconds) {
 			out.Seconds = append(out.Seconds, SecondTotals{})
 		}
-		for j, s := range p.Seconds {
+		for j, s := range part.Seconds {
 			out.Seconds[j].Offered += s.Offered
 			out.Seconds[j].Answered += s.Answered
 		}
-		for j, s := range []*hdrhistogram.Snapshot{p.Histograms.SetUp, p.Histograms.Answer, p.Histograms.Late} {
+		for j, s := range []*hdrhistogram.Snapshot{part.Histograms.SetUp, part.Histograms.Answer, part.Histograms.Late} {
 			if s == nil {
-				return Report{}, fmt.Errorf("load: part %d lacks a histogram", i)
+				return Report{}, fmt.Errorf("load: report of part %d lacks a histogram", i)
 			}
-			h := hdrhistogram.Import(s)
+			histogram := hdrhistogram.Import(s)
 			if merged[j] == nil {
-				merged[j] = h
-			} else if dropped := merged[j].Merge(h); dropped > 0 {
-				return Report{}, fmt.Errorf("load: part %d: %d values beyond the histogram", i, dropped)
+				merged[j] = histogram
+			} else if dropped := merged[j].Merge(histogram); dropped > 0 {
+				return Report{}, fmt.Errorf("load: report of part %d: %d values out of the histogram's range", i, dropped)
 			}
 		}
 	}
--- a/load/parts_test.go
+++ b/load/parts_test.go
@@ -9,8 +9,9 @@
 	"github.com/umbergauge/umbergauge/emulator"
 )
 
-// The parts of a load are the whole: each client once, the rate shared, no two seeds alike.
-func TestParts(t *testing.T) {
+// Guards against a load that changes when it is split among processes: the parts must have each client once, add up to the rate,
+// and have different seeds.
+func TestPartsAddUpToWholeLoad(t *testing.T) {
 	c := parse(t, "rate: 50", "rate: 50\nclients: 7\npoint_code: 9100")
 	for n := 1; n <= 7; n++ {
 		rate, next, seeds := 0.0, uint32(9100), map[uint64]bool{}
@@ -25,19 +26,19 @@
 			rate, next, seeds[p.Seed] = rate+p.Rate, next+uint32(p.Clients), true
 		}
 		if math.Abs(rate-50) > 1e-9 || next != 9107 {
-			t.Errorf("%d parts: rate %v, clients up to %d", n, rate, next)
+			t.Errorf("%d parts: sum of rates %v, want 50; point codes end before %d, want 9107", n, rate, next)
 		}
 	}
 	if _, err := c.Part(0, 8); err == nil {
-		t.Error("eight processes for seven clients")
+		t.Error("a split of seven clients among eight processes was accepted")
 	}
 }
 
-// Reports that have been through JSON merge to what one histogram of all would say.
-func TestMerge(t *testing.T) {
+// Guards against counts or quantiles lost when reports of several processes are merged after their way through JSON.
+func TestMergeEqualsOneHistogramOfAll(t *testing.T) {
 	var parts []Report
 	for _, ringing := range []time.Duration{time.Second, 3 * time.Second} {
-		b, err := json.Marshal(offer(t, 0, emulator.Ringing{Median: ringing}))
+		b, err := json.Marshal(runLoad(t, 0, emulator.Ringing{Median: ringing}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,17 +48,17 @@
 		}
 		parts = append(parts, r)
 	}
-	m, err := Merge(parts)
+	merged, err := Merge(parts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Totals.Answered != parts[0].Totals.Answered+parts[1].Totals.Answered || m.Totals.Causes["1"] != parts[0].Totals.Causes["1"]+parts[1].Totals.Causes["1"] {
-		t.Errorf("%+v", m.Totals)
+	if merged.Totals.Answered != parts[0].Totals.Answered+parts[1].Totals.Answered || merged.Totals.Causes["1"] != parts[0].Totals.Causes["1"]+parts[1].Totals.Causes["1"] {
+		t.Errorf("merged totals %+v", merged.Totals)
 	}
-	if m.AnswerUS.Max != parts[1].AnswerUS.Max || m.AnswerUS.P50 > 1_500_000 || m.AnswerUS.P90 < 2_900_000 {
-		t.Errorf("answers %+v, of %+v and %+v", m.AnswerUS, parts[0].AnswerUS, parts[1].AnswerUS)
+	if merged.AnswerUS.Max != parts[1].AnswerUS.Max || merged.AnswerUS.P50 > 1_500_000 || merged.AnswerUS.P90 < 2_900_000 {
+		t.Errorf("merged answer times %+v, from %+v and %+v", merged.AnswerUS, parts[0].AnswerUS, parts[1].AnswerUS)
 	}
 	if _, err := Merge([]Report{{}}); err == nil {
-		t.Error("a report without histograms is merged")
+		t.Error("a report without histograms was merged")
 	}
 }
--- a/load/recorded.go
+++ b/load/recorded.go
@@ -14,191 +14,191 @@
 	"github.com/umbergauge/umbergauge/isup"
 )
 
-// A recorded load is CSV with this header. at and hold are durations since the first call and of the conversation; an empty
-// hold is drawn from the class, an empty client is any.
+// recordHeader is the header of the CSV file of a recorded load. at is the time since the first call, hold the time from answer
+// to release; an empty hold is drawn as for the class, an empty client is drawn at random.
 var recordHeader = []string{"at", "category", "called", "hold", "client"}
 
-// maxRecorded bounds the calls of a record that are held in memory.
+// maxRecorded limits the recorded calls that are held in memory.
 const maxRecorded = 10_000_000
 
-// ReadRecord reads a recorded load; name stands in its errors, with the line.
-func ReadRecord(name string, r io.Reader, c *Config) ([]Arrival, error) {
-	f := csv.NewReader(r)
-	f.FieldsPerRecord, f.ReuseRecord, f.Comment = len(recordHeader), true, '#'
-	head, err := f.Read()
+// ReadRecord reads the CSV file of a recorded load; errors name it by name, with the line.
+func ReadRecord(name string, input io.Reader, cfg *Config) ([]Arrival, error) {
+	reader := csv.NewReader(input)
+	reader.FieldsPerRecord, reader.ReuseRecord, reader.Comment = len(recordHeader), true, '#'
+	header, err := reader.Read()
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	if !slices.Equal(head, recordHeader) {
-		return nil, fmt.Errorf("%s: the header is %q, not %q", name, head, recordHeader)
+	if !slices.Equal(header, recordHeader) {
+		return nil, fmt.Errorf("%s: the header is %q, want %q", name, header, recordHeader)
 	}
-	var out []Arrival
+	var arrivals []Arrival
 	for {
-		row, err := f.Read()
+		row, err := reader.Read()
 		if errors.Is(err, io.EOF) {
-			if len(out) == 0 {
-				return nil, fmt.Errorf("%s: it holds no call", name)
+			if len(arrivals) == 0 {
+				return nil, fmt.Errorf("%s: the file holds no call", name)
 			}
-			return out, nil
+			return arrivals, nil
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		a, field, err := parseArrival(row, c)
-		if err == nil && len(out) > 0 && a.At < out[len(out)-1].At {
-			field, err = 0, errors.New("earlier than the call before")
+		arrival, field, err := parseArrival(row, cfg)
+		if err == nil && len(arrivals) > 0 && arrival.At < arrivals[len(arrivals)-1].At {
+			field, err = 0, errors.New("must not be earlier than the preceding call")
 		}
-		if err == nil && len(out) == maxRecorded {
-			err = fmt.Errorf("more than %d calls", maxRecorded)
+		if err == nil && len(arrivals) == maxRecorded {
+			err = fmt.Errorf("the file has more than %d calls", maxRecorded)
 		}
 		if err != nil {
-			line, column := f.FieldPos(field)
+			line, column := reader.FieldPos(field)
 			return nil, fmt.Errorf("%s:%d:%d: %s %q: %w", name, line, column, recordHeader[field], row[field], err)
 		}
-		out = append(out, a)
+		arrivals = append(arrivals, arrival)
 	}
 }
 
-// parseArrival reads one line; field is the one at fault.
-func parseArrival(row []string, c *Config) (a Arrival, field int, err error) {
-	if a.At, err = time.ParseDuration(row[0]); err != nil || a.At < 0 {
-		return a, 0, errors.New("no duration of zero or more")
+// parseArrival parses one row; field is the index of the invalid field if err is not nil.
+func parseArrival(row []string, cfg *Config) (arrival Arrival, field int, err error) {
+	if arrival.At, err = time.ParseDuration(row[0]); err != nil || arrival.At < 0 {
+		return arrival, 0, errors.New("not a duration of at least 0")
 	}
 	category, err := strconv.Atoi(row[1])
 	if err != nil {
-		return a, 1, errors.New("no category")
+		return arrival, 1, errors.New("not a category number")
 	}
-	if a.Class = slices.IndexFunc(c.Classes, func(x Class) bool { return x.Category == category }); a.Class < 0 {
-		return a, 1, errors.New("no class of this load has it")
+	if arrival.Class = slices.IndexFunc(cfg.Classes, func(x Class) bool { return x.Category == category }); arrival.Class < 0 {
+		return arrival, 1, errors.New("no class of this load has this category")
 	}
 	if _, err = isup.ParseNumber(4, row[2]); err != nil || row[2] == "" {
-		return a, 2, errors.New("no number")
+		return arrival, 2, errors.New("not a valid number")
 	}
-	a.Called = row[2]
-	a.Hold = -1
+	arrival.Called = row[2]
+	arrival.Hold = -1
 	if row[3] != "" {
-		if a.Hold, err = time.ParseDuration(row[3]); err != nil || a.Hold < 0 {
-			return a, 3, errors.New("no duration of zero or more")
+		if arrival.Hold, err = time.ParseDuration(row[3]); err != nil || arrival.Hold < 0 {
+			return arrival, 3, errors.New("not a duration of at least 0")
 		}
 	}
-	a.Client = -1
+	arrival.Client = -1
 	if row[4] != "" {
-		if a.Client, err = strconv.Atoi(row[4]); err != nil || a.Client < 0 {
-			return a, 4, errors.New("no client, counted from 0")
+		if arrival.Client, err = strconv.Atoi(row[4]); err != nil || arrival.Client < 0 {
+			return arrival, 4, errors.New("not a client index (from 0)")
 		}
 	}
-	return a, 0, nil
+	return arrival, 0, nil
 }
 
-// openRecord reads the record of a load that a file names, beside that file.
-func (c *Config) openRecord(beside string) error {
+// openRecord reads the recorded calls that the load's file names; a relative path is relative to that file.
+func (c *Config) openRecord(configPath string) error {
 	path := c.Record
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(filepath.Dir(beside), path)
+		path = filepath.Join(filepath.Dir(configPath), path)
 	}
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	c.recorded, err = ReadRecord(path, f, c)
+	defer file.Close()
+	c.recorded, err = ReadRecord(path, file, c)
 	return err
 }
 
-// nextRecorded is the next call of the record that this part of the load offers.
+// nextRecorded returns the next recorded call that this part of the load offers.
 func (a *Arrivals) nextRecorded() (next Arrival, ok bool) {
-	for n := max(1, a.c.parts); a.read < len(a.c.recorded); {
-		next = a.c.recorded[a.read]
-		mine := a.read%n == a.c.part
-		a.read++
-		if next.At >= a.c.Span {
+	for partCount := max(1, a.cfg.parts); a.nextRow < len(a.cfg.recorded); {
+		next = a.cfg.recorded[a.nextRow]
+		selected := a.nextRow%partCount == a.cfg.part
+		a.nextRow++
+		if next.At >= a.cfg.Span {
 			break
 		}
-		if !mine {
+		if !selected {
 			continue
 		}
 		if next.Hold < 0 {
-			next.Hold = time.Duration(a.rng.ExpFloat64() * float64(a.c.Classes[next.Class].Hold))
+			next.Hold = time.Duration(a.rng.ExpFloat64() * float64(a.cfg.Classes[next.Class].Hold))
 		}
 		if next.Client < 0 {
-			next.Client = a.rng.IntN(a.c.Clients)
+			next.Client = a.rng.IntN(a.cfg.Clients)
 		}
-		next.Client %= a.c.Clients
+		next.Client %= a.cfg.Clients
 		return next, true
 	}
 	return Arrival{}, false
 }
 
-// Recorder makes a record of the calls that clients have offered, from the messages on their circuits. It does no I/O.
+// Recorder makes a recorded load of the calls that clients offered, from the messages on their circuits. It does no I/O.
 type Recorder struct {
-	calls []recordedCall
-	on    map[circuitOf]int // the call on a circuit
-	peers map[string]int    // clients in the order of their first call
+	calls         []recordedCall
+	callByCircuit map[circuitKey]int // index in calls of the last call on a circuit
+	clientIndex   map[string]int     // number of each client, in the order of their first calls
 }
 
 type recordedCall struct {
-	at       time.Duration
-	category isup.Category
-	called   string
-	client   int
-	stoodAt  time.Duration
-	hold     time.Duration
+	at         time.Duration
+	category   isup.Category
+	called     string
+	client     int
+	answeredAt time.Duration
+	hold       time.Duration
 }
 
-type circuitOf struct {
+type circuitKey struct {
 	client string
 	opc    uint32
 	cic    uint16
 }
 
-// Message takes a message between a client and its controller: client names the client's end of the connection, opc is the
-// client's point code.
-func (r *Recorder) Message(at time.Duration, client string, opc uint32, m *isup.Message) {
-	if r.on == nil {
-		r.on, r.peers = map[circuitOf]int{}, map[string]int{}
-	}
-	key := circuitOf{client, opc, m.CIC}
-	i, busy := r.on[key]
-	switch m.Type {
+// Message processes a message between a client and its controller: client identifies the client's end of the connection, opc is
+// the client's point code.
+func (r *Recorder) Message(at time.Duration, client string, opc uint32, msg *isup.Message) {
+	if r.callByCircuit == nil {
+		r.callByCircuit, r.clientIndex = map[circuitKey]int{}, map[string]int{}
+	}
+	key := circuitKey{client, opc, msg.CIC}
+	i, active := r.callByCircuit[key]
+	switch msg.Type {
 	case isup.IAM:
 		if len(r.calls) >= maxRecorded {
 			return
 		}
-		n, known := r.peers[client]
+		index, known := r.clientIndex[client]
 		if !known {
-			n = len(r.peers)
-			r.peers[client] = n
+			index = len(r.clientIndex)
+			r.clientIndex[client] = index
 		}
-		r.on[key] = len(r.calls)
-		r.calls = append(r.calls, recordedCall{at: at, category: m.Category, called: m.Called.String(), client: n, hold: -1})
+		r.callByCircuit[key] = len(r.calls)
+		r.calls = append(r.calls, recordedCall{at: at, category: msg.Category, called: msg.Called.String(), client: index, hold: -1})
 	case isup.ANM, isup.CON:
-		if busy {
-			r.calls[i].stoodAt = at
+		if active {
+			r.calls[i].answeredAt = at
 		}
 	case isup.REL, isup.RSC:
-		if busy && r.calls[i].stoodAt > 0 {
-			r.calls[i].hold = at - r.calls[i].stoodAt
+		if active && r.calls[i].answeredAt > 0 {
+			r.calls[i].hold = at - r.calls[i].answeredAt
 		}
-		delete(r.on, key)
+		delete(r.callByCircuit, key)
 	}
 }
 
-// Write writes the record; times are from its first call on.
-func (r *Recorder) Write(w io.Writer) error {
-	f := csv.NewWriter(w)
-	if err := f.Write(recordHeader); err != nil {
+// Write writes the recorded load as CSV; times count from the first call.
+func (r *Recorder) Write(output io.Writer) error {
+	writer := csv.NewWriter(output)
+	if err := writer.Write(recordHeader); err != nil {
 		return err
 	}
-	for _, k := range r.calls {
+	for _, call := range r.calls {
 		hold := ""
-		if k.hold >= 0 {
-			hold = k.hold.String()
+		if call.hold >= 0 {
+			hold = call.hold.String()
 		}
-		row := []string{(k.at - r.calls[0].at).String(), strconv.Itoa(int(k.category)), k.called, hold, strconv.Itoa(k.client)}
-		if err := f.Write(row); err != nil {
+		row := []string{(call.at - r.calls[0].at).String(), strconv.Itoa(int(call.category)), call.called, hold, strconv.Itoa(call.client)}
+		if err := writer.Write(row); err != nil {
 			return err
 		}
 	}
-	f.Flush()
-	return f.Error()
+	writer.Flush()
+	return writer.Error()
 }
--- a/load/run.go
+++ b/load/run.go
@@ -16,44 +16,44 @@
 	"github.com/umbergauge/umbergauge/timer"
 )
 
-// Totals are what became of calls.
+// Totals count the outcomes of calls.
 type Totals struct {
-	Offered          uint64            `json:"offered"` // first tries
-	Tries            uint64            `json:"tries"`
+	Offered          uint64            `json:"offered"` // calls, without redials
+	Tries            uint64            `json:"tries"`   // attempts, including redials
 	Alerted          uint64            `json:"rang"`
 	Answered         uint64            `json:"stood"`
 	Refused          uint64            `json:"refused"`
 	Abandoned        uint64            `json:"given_up"`
-	AbandonedRinging uint64            `json:"rang_out"` // callers who left while it rang
-	Cut              uint64            `json:"cut"`
+	AbandonedRinging uint64            `json:"rang_out"` // abandoned by the caller while ringing
+	Cut              uint64            `json:"cut"`      // released after the answer with a cause other than 16 (normal)
 	Finished         uint64            `json:"finished"`
 	NotConnected     uint64            `json:"not_connected"`
-	NoCircuit        uint64            `json:"no_circuit"` // the client's own 4095 were all in use
+	NoCircuit        uint64            `json:"no_circuit"` // all 4095 circuits of the client were in use
 	Causes           map[string]uint64 `json:"causes,omitempty"`
-	// CongestionReports counts SCON messages.
+	// CongestionReports counts SCON messages from the controller.
 	CongestionReports uint64 `json:"congestion_told"`
 }
 
-// Report is the outcome of a load.
+// Report is the result of a load.
 type Report struct {
 	Span             time.Duration  `json:"span"`
 	Totals           Totals         `json:"totals"`
-	SetUpUS          Quantiles      `json:"set_up_us"` // from when the call was due to ACM, or to its answer where no ACM came
-	AnswerUS         Quantiles      `json:"answer_us"` // ... to its answer, ringing included
-	LateUS           Quantiles      `json:"late_us"`   // from when it was due to when it was sent: this program's own lateness
+	SetUpUS          Quantiles      `json:"set_up_us"` // from when the attempt was due to ACM, or to the answer if no ACM came
+	AnswerUS         Quantiles      `json:"answer_us"` // from when the attempt was due to the answer, ringing included
+	LateUS           Quantiles      `json:"late_us"`   // from when the attempt was due to when its IAM was sent: scheduling delay of this program
 	OfferedPerSecond float64        `json:"offered_per_second"`
-	Seconds          []SecondTotals `json:"seconds"` // by when a call was first due
-	// Histograms are what the quantiles are of, for Merge.
+	Seconds          []SecondTotals `json:"seconds"` // by the second in which the first attempt of a call was due
+	// Histograms hold the values behind the quantiles, for Merge.
 	Histograms *Histograms `json:"histograms,omitempty"`
 }
 
-// SecondTotals is what became of the calls that were first due in one second.
+// SecondTotals counts the calls whose first attempt was due in one second.
 type SecondTotals struct {
 	Offered  uint32 `json:"offered"`
 	Answered uint32 `json:"stood"`
 }
 
-// Quantiles of a histogram, in microseconds.
+// Quantiles are those of a histogram, in microseconds.
 type Quantiles struct {
 	P50  int64 `json:"p50"`
 	P90  int64 `json:"p90"`
@@ -62,109 +62,113 @@
 	Max  int64 `json:"max"`
 }
 
-func quantiles(h *hdrhistogram.Histogram) Quantiles {
-	return Quantiles{h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.ValueAtQuantile(99.9), h.Max()}
+func quantiles(histogram *hdrhistogram.Histogram) Quantiles {
+	return Quantiles{histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(90), histogram.ValueAtQuantile(99), histogram.ValueAtQuantile(99.9), histogram.Max()}
 }
 
-// Options are how a load reaches the controller and shows its progress.
+// Options set how a load connects to the controller and shows its progress.
 type Options struct {
-	Dial     func(ctx context.Context, addr string) (net.Conn, error)
-	Progress io.Writer // a line a second; nil: none
+	Dial     func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
+	Progress io.Writer                                                // gets a line every second; nil: none
 }
 
-// runner is a load under way. One goroutine owns the calls; each client's connection has a reader and a writer.
+// runner runs a load. One goroutine, the event loop, owns the calls; each client's connection has a reader and a writer.
 type runner struct {
-	c       *Config
-	o       Options
-	start   time.Time
-	wheel   *timer.Wheel[func()]
-	clients []*client
-	events  chan func()
-	setUp   *hdrhistogram.Histogram
-	answer  *hdrhistogram.Histogram
-	late    *hdrhistogram.Histogram
-	t       Totals
-	seconds []SecondTotals
-	refs    uint32
-	open    int
-	over    bool // nothing is dialled any more
+	cfg           *Config
+	options       Options
+	start         time.Time
+	wheel         *timer.Wheel[func()]
+	clients       []*client
+	events        chan func()
+	setUp         *hdrhistogram.Histogram
+	answer        *hdrhistogram.Histogram
+	sendDelay     *hdrhistogram.Histogram
+	t             Totals
+	seconds       []SecondTotals
+	lastReference uint32
+	openCalls     int
+	spanOver      bool // the span is over: no more redials
 }
 
+// state is the state of an attempt.
 type state uint8
 
 const (
-	waiting state = iota
-	ringing
-	standing
-	releasing
+	statePending state = iota
+	stateAlerted
+	stateEstablished
+	stateReleasing
 )
 
-type call struct {
+// attempt is one attempt to set up a call, and the call after that.
+type attempt struct {
 	Arrival
-	due     time.Duration // of this try
-	first   time.Duration
-	redials int
-	cic     uint16
-	state   state
-	timer   timer.Handle
+	due      time.Duration // when this attempt is due
+	firstDue time.Duration
+	redials  int
+	cic      uint16
+	state    state
+	timer    timer.Handle
 }
 
+// client is one client and its connection. All but the connection's goroutines run in the event loop.
 type client struct {
-	r     *runner
-	pc    uint32
-	calls map[uint16]*call
-	next  uint16
-	out   chan []byte // nil while not connected
-	buf   []byte
+	r        *runner
+	pc       uint32
+	calls    map[uint16]*attempt
+	lastCIC  uint16
+	outgoing chan []byte // batches of frames for the writer; nil while not connected
+	pending  []byte
 }
 
-// queue is how many batches of frames wait for a client's socket; beyond, its connection is given up.
-const queue = 1024
+// writeQueueSize is the number of batches of frames that may wait for a client's socket. While the queue is full, frames are
+// collected in the client's pending batch.
+const writeQueueSize = 1024
 
-// Run offers a load and returns when its last call is over or given up, at most a minute after the span, or as long as
-// its callers let it ring and talk, ten minutes at the most.
-func Run(ctx context.Context, c *Config, o Options) (Report, error) {
-	if o.Dial == nil {
+// Run offers a load and returns when its last call has ended. After the span it waits a minute for that, or longer if ringing and
+// holding times of the classes require it, but at most ten minutes.
+func Run(ctx context.Context, cfg *Config, options Options) (Report, error) {
+	if options.Dial == nil {
 		var d net.Dialer
-		o.Dial = func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }
+		options.Dial = func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }
 	}
-	own := *c
-	c, own.Classes = &own, slices.Clone(c.Classes)
-	for i := range own.Classes { // one that no file has been read for
-		if own.Classes[i].Ring == 0 {
-			own.Classes[i].Ring = time.Minute
+	copied := *cfg
+	cfg, copied.Classes = &copied, slices.Clone(cfg.Classes)
+	for i := range copied.Classes { // not set in a Config that was not made by Parse
+		if copied.Classes[i].Ring == 0 {
+			copied.Classes[i].Ring = time.Minute
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	r := &runner{c: c, o: o, start: time.Now(), wheel: timer.New[func()](0, time.Millisecond), events: make(chan func(), 4096),
-		setUp: hdrhistogram.New(1, 120_000_000, 3), answer: hdrhistogram.New(1, 1_200_000_000, 3), late: hdrhistogram.New(1, 120_000_000, 3)}
+	r := &runner{cfg: cfg, options: options, start: time.Now(), wheel: timer.New[func()](0, time.Millisecond), events: make(chan func(), 4096),
+		setUp: hdrhistogram.New(1, 120_000_000, 3), answer: hdrhistogram.New(1, 1_200_000_000, 3), sendDelay: hdrhistogram.New(1, 120_000_000, 3)}
 	r.t.Causes = map[string]uint64{}
-	var up sync.WaitGroup
-	for i := range c.Clients {
-		x := &client{r: r, pc: c.PointCode + uint32(i), calls: map[uint16]*call{}}
-		r.clients = append(r.clients, x)
+	var connected sync.WaitGroup
+	for i := range cfg.Clients {
+		newClient := &client{r: r, pc: cfg.PointCode + uint32(i), calls: map[uint16]*attempt{}}
+		r.clients = append(r.clients, newClient)
 		wg.Add(1)
-		up.Add(1)
+		connected.Add(1)
 		go func() {
 			defer wg.Done()
-			x.connect(ctx, sync.OnceFunc(up.Done))
+			newClient.connect(ctx, sync.OnceFunc(connected.Done))
 		}()
 	}
 	ready := make(chan struct{})
-	go func() { up.Wait(); close(ready) }()
-	limit := time.NewTimer(10 * time.Second)
-	defer limit.Stop()
-	for waiting := true; waiting; {
+	go func() { connected.Wait(); close(ready) }()
+	timeout := time.NewTimer(10 * time.Second)
+	defer timeout.Stop()
+	for connecting := true; connecting; {
 		select {
 		case <-ready:
-			waiting = false
+			connecting = false
 		case f := <-r.events:
 			f()
-		case <-limit.C:
-			return Report{}, fmt.Errorf("load: %s takes not all of %d connections within ten seconds", c.Controller, c.Clients)
+		case <-timeout.C:
+			return Report{}, fmt.Errorf("load: %s did not accept all of %d clients within 10 s", cfg.Controller, cfg.Clients)
 		case <-ctx.Done():
 			return Report{}, ctx.Err()
 		}
@@ -172,25 +176,26 @@
 	r.start = time.Now()
 	r.wheel = timer.New[func()](0, time.Millisecond)
 	r.loop(ctx)
-	rep := Report{Span: time.Since(r.start), Totals: r.t, SetUpUS: quantiles(r.setUp), AnswerUS: quantiles(r.answer), LateUS: quantiles(r.late), OfferedPerSecond: float64(r.t.Offered) / c.Span.Seconds(), Seconds: r.seconds,
-		Histograms: &Histograms{r.setUp.Export(), r.answer.Export(), r.late.Export()}}
-	return rep, ctx.Err()
+	report := Report{Span: time.Since(r.start), Totals: r.t, SetUpUS: quantiles(r.setUp), AnswerUS: quantiles(r.answer), LateUS: quantiles(r.sendDelay), OfferedPerSecond: float64(r.t.Offered) / cfg.Span.Seconds(), Seconds: r.seconds,
+		Histograms: &Histograms{r.setUp.Export(), r.answer.Export(), r.sendDelay.Export()}}
+	return report, ctx.Err()
 }
 
 func (r *runner) now() time.Duration { return time.Since(r.start) }
 
+// loop is the event loop.
 func (r *runner) loop(ctx context.Context) {
-	arrivals := NewArrivals(r.c)
+	arrivals := NewArrivals(r.cfg)
 	next, more := arrivals.Next()
-	end := r.c.Span + time.Minute
-	for _, cl := range r.c.Classes {
-		end = max(end, r.c.Span+cl.Ring+cl.Hold*8)
+	end := r.cfg.Span + time.Minute
+	for _, class := range r.cfg.Classes {
+		end = max(end, r.cfg.Span+class.Ring+class.Hold*8)
 	}
-	end = min(end, r.c.Span+10*time.Minute)
+	end = min(end, r.cfg.Span+10*time.Minute)
 	t := time.NewTimer(0)
 	defer t.Stop()
-	shown := time.Second
-	for more || r.open > 0 {
+	nextProgress := time.Second
+	for more || r.openCalls > 0 {
 		now := r.now()
 		for more && next.At <= now {
 			r.t.Offered++
@@ -198,7 +203,7 @@
 				r.seconds = append(r.seconds, SecondTotals{})
 			}
 			r.seconds[next.At/time.Second].Offered++
-			r.clients[next.Client].try(&call{Arrival: next, due: next.At, first: next.At, redials: r.c.Redials})
+			r.clients[next.Client].dial(&attempt{Arrival: next, due: next.At, firstDue: next.At, redials: r.cfg.Redials})
 			next, more = arrivals.Next()
 		}
 		r.wheel.Advance(now, func(f func()) { f() })
@@ -208,10 +213,10 @@
 		if now >= end {
 			return
 		}
-		r.over = now > r.c.Span
-		if now >= shown && r.o.Progress != nil {
-			shown += time.Second
-			fmt.Fprintf(r.o.Progress, "%4.0f s: offered %d, rang %d, stood %d, refused %d, given up %d, open %d\n", now.Seconds(), r.t.Offered, r.t.Alerted, r.t.Answered, r.t.Refused, r.t.Abandoned, r.open)
+		r.spanOver = now > r.cfg.Span
+		if now >= nextProgress && r.options.Progress != nil {
+			nextProgress += time.Second
+			fmt.Fprintf(r.options.Progress, "%4.0f s: offered %d, rang %d, stood %d, refused %d, given up %d, open %d\n", now.Seconds(), r.t.Offered, r.t.Alerted, r.t.Answered, r.t.Refused, r.t.Abandoned, r.openCalls)
 		}
 		wake := 100 * time.Millisecond
 		if more {
@@ -240,15 +245,15 @@
 	}
 }
 
-// connect keeps a client's connection up; first is called when it is up for the first time.
-func (x *client) connect(ctx context.Context, first func()) {
-	defer first()
+// connect keeps a client connected until ctx is done. onActive is called whenever the association becomes active, and at the end.
+func (c *client) connect(ctx context.Context, onActive func()) {
+	defer onActive()
 	for ctx.Err() == nil {
-		dctx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		conn, err := x.r.o.Dial(dctx, x.r.c.Controller)
+		dialCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		conn, err := c.r.options.Dial(dialCtx, c.r.cfg.Controller)
 		cancel()
 		if err == nil {
-			x.serve(ctx, conn, first)
+			c.serve(ctx, conn, onActive)
 		}
 		select {
 		case <-time.After(200 * time.Millisecond):
@@ -257,19 +262,21 @@
 	}
 }
 
-func (x *client) post(ctx context.Context, f func()) bool {
+// post queues f for the event loop; it returns false if ctx is done.
+func (c *client) post(ctx context.Context, f func()) bool {
 	select {
-	case x.r.events <- f:
+	case c.r.events <- f:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (x *client) serve(ctx context.Context, conn net.Conn, first func()) {
+// serve runs the association on one connection until it ends.
+func (c *client) serve(ctx context.Context, conn net.Conn, onActive func()) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	out, done := make(chan []byte, queue), make(chan struct{})
+	outgoing, done := make(chan []byte, writeQueueSize), make(chan struct{})
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer close(done)
@@ -278,9 +285,9 @@
 		defer wg.Done()
 		for {
 			select {
-			case b := <-out:
+			case batch := <-outgoing:
 				conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
-				if _, err := conn.Write(b); err != nil {
+				if _, err := conn.Write(batch); err != nil {
 					conn.Close()
 					return
 				}
@@ -289,203 +296,206 @@
 			}
 		}
 	}()
-	out <- m3ua.Append(nil, &m3ua.Message{Kind: m3ua.ASPUP, HasASPID: true, ASPID: x.pc})
-	sc := m3ua.NewScanner(conn)
+	outgoing <- m3ua.Append(nil, &m3ua.Message{Kind: m3ua.ASPUP, HasASPID: true, ASPID: c.pc})
+	scanner := m3ua.NewScanner(conn)
 	for {
-		f, err := sc.Next()
+		frame, err := scanner.Next()
 		if err != nil {
 			break
 		}
-		var m m3ua.Message
-		if m3ua.Decode(f, &m) != nil {
+		var msg m3ua.Message
+		if m3ua.Decode(frame, &msg) != nil {
 			continue
 		}
 		var reply *m3ua.Message
-		switch m.Kind {
+		switch msg.Kind {
 		case m3ua.ASPUPAck:
 			reply = &m3ua.Message{Kind: m3ua.ASPAC, Traffic: m3ua.TrafficOverride}
 		case m3ua.ASPACAck:
-			if !x.post(ctx, func() { x.out = out; first() }) {
+			if !c.post(ctx, func() { c.outgoing = outgoing; onActive() }) {
 				return
 			}
 		case m3ua.BEAT:
-			reply = &m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: m.Heartbeat}
+			reply = &m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: msg.Heartbeat}
 		case m3ua.SCON:
-			x.post(ctx, func() { x.r.t.CongestionReports++ })
+			c.post(ctx, func() { c.r.t.CongestionReports++ })
 		case m3ua.DATA:
-			var u isup.Message
-			if isup.Decode(m.Data.User, &u) != nil {
+			var isupMsg isup.Message
+			if isup.Decode(msg.Data.User, &isupMsg) != nil {
 				continue
 			}
-			u = isup.Message{Type: u.Type, CIC: u.CIC, Cause: u.Cause}
-			if !x.post(ctx, func() { x.take(&u) }) {
+			isupMsg = isup.Message{Type: isupMsg.Type, CIC: isupMsg.CIC, Cause: isupMsg.Cause}
+			if !c.post(ctx, func() { c.handleMessage(&isupMsg) }) {
 				return
 			}
 		}
 		if reply != nil {
 			select {
-			case out <- m3ua.Append(nil, reply):
+			case outgoing <- m3ua.Append(nil, reply):
 			case <-ctx.Done():
 				return
 			}
 		}
 	}
-	x.post(ctx, x.lost)
+	c.post(ctx, c.connectionLost)
 }
 
-// lost ends all calls with the connection.
-func (x *client) lost() {
-	x.out, x.buf = nil, nil
-	for cic, k := range x.calls {
-		x.r.wheel.Stop(k.timer)
-		delete(x.calls, cic)
-		x.r.open--
-		if k.state != releasing {
-			x.again(k)
+// connectionLost drops all calls of the lost connection; callers redial unless the call was being released.
+func (c *client) connectionLost() {
+	c.outgoing, c.pending = nil, nil
+	for cic, call := range c.calls {
+		c.r.wheel.Stop(call.timer)
+		delete(c.calls, cic)
+		c.r.openCalls--
+		if call.state != stateReleasing {
+			c.redial(call)
 		}
 	}
 }
 
-func (x *client) send(m *isup.Message) {
-	x.buf = m3ua.Append(x.buf, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: x.pc, DPC: x.r.c.Exchange, SI: m3ua.ServiceISUP, NI: 2,
-		SLS: byte(m.CIC & 15), User: isup.Append(nil, m)}})
+// send adds an ISUP message to the pending batch.
+func (c *client) send(msg *isup.Message) {
+	c.pending = m3ua.Append(c.pending, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: c.pc, DPC: c.r.cfg.Exchange, SI: m3ua.ServiceISUP, NI: 2,
+		SLS: byte(msg.CIC & 15), User: isup.Append(nil, msg)}})
 }
 
-// flush hands what has gathered to the writer.
-func (x *client) flush() {
-	if len(x.buf) == 0 || x.out == nil {
-		x.buf = x.buf[:0]
+// flush passes the pending batch to the writer.
+func (c *client) flush() {
+	if len(c.pending) == 0 || c.outgoing == nil {
+		c.pending = c.pending[:0]
 		return
 	}
 	select {
-	case x.out <- x.buf:
-		x.buf = nil
-	default: // the controller does not read: the next flush tries again, and its calls wait
+	case c.outgoing <- c.pending:
+		c.pending = nil
+	default: // the controller does not read: the batch stays pending for the next flush, and its calls wait
 	}
 }
 
-func (x *client) try(k *call) {
-	r := x.r
+// dial makes an attempt on a free circuit.
+func (c *client) dial(call *attempt) {
+	r := c.r
 	r.t.Tries++
-	if x.out == nil {
+	if c.outgoing == nil {
 		r.t.NotConnected++
-		x.again(k)
+		c.redial(call)
 		return
 	}
 	for range isup.MaxCIC {
-		x.next = x.next%isup.MaxCIC + 1
-		if x.calls[x.next] == nil {
-			k.cic = x.next
+		c.lastCIC = c.lastCIC%isup.MaxCIC + 1
+		if c.calls[c.lastCIC] == nil {
+			call.cic = c.lastCIC
 			break
 		}
 	}
-	if k.cic == 0 {
+	if call.cic == 0 {
 		r.t.NoCircuit++
 		return
 	}
-	called, err := isup.ParseNumber(4, k.Called)
+	called, err := isup.ParseNumber(4, call.Called)
 	if err != nil {
 		r.t.Refused++
 		return
 	}
-	r.refs++
-	calling, _ := isup.ParseNumber(4, fmt.Sprintf("9%08d", r.refs%100_000_000))
-	cl := r.c.Classes[k.Class]
-	x.calls[k.cic] = k
-	k.state = waiting
-	r.open++
-	r.late.RecordValue(max(1, (r.now() - k.due).Microseconds()))
-	x.send(&isup.Message{Type: isup.IAM, CIC: k.cic, Category: isup.Category(cl.Category), Medium: 3, Called: called, HasCalling: true, Calling: calling,
-		HasRef: true, Ref: isup.CallReference{ID: r.refs & 0xffffff, PC: uint16(x.pc)}})
-	k.timer = r.wheel.Set(k.due+cl.Patience, func() {
+	r.lastReference++
+	calling, _ := isup.ParseNumber(4, fmt.Sprintf("9%08d", r.lastReference%100_000_000))
+	class := r.cfg.Classes[call.Class]
+	c.calls[call.cic] = call
+	call.state = statePending
+	r.openCalls++
+	r.sendDelay.RecordValue(max(1, (r.now() - call.due).Microseconds()))
+	c.send(&isup.Message{Type: isup.IAM, CIC: call.cic, Category: isup.Category(class.Category), Medium: 3, Called: called, HasCalling: true, Calling: calling,
+		HasRef: true, Ref: isup.CallReference{ID: r.lastReference & 0xffffff, PC: uint16(c.pc)}})
+	call.timer = r.wheel.Set(call.due+class.Patience, func() {
 		r.t.Abandoned++
-		x.leave(k)
-		x.again(k)
+		c.release(call)
+		c.redial(call)
 	})
 }
 
-// leave sends REL; the circuit is free after RLC, or four seconds.
-func (x *client) leave(k *call) {
-	x.r.wheel.Stop(k.timer)
-	k.state = releasing
-	x.send(&isup.Message{Type: isup.REL, CIC: k.cic, Cause: isup.CauseNormal})
-	k.timer = x.r.wheel.Set(x.r.now()+4*time.Second, func() { x.free(k) })
+// release sends REL. The circuit is free again after RLC, or after 4 s without one.
+func (c *client) release(call *attempt) {
+	c.r.wheel.Stop(call.timer)
+	call.state = stateReleasing
+	c.send(&isup.Message{Type: isup.REL, CIC: call.cic, Cause: isup.CauseNormal})
+	call.timer = c.r.wheel.Set(c.r.now()+4*time.Second, func() { c.freeCircuit(call) })
 }
 
-func (x *client) free(k *call) {
-	if x.calls[k.cic] == k {
-		x.r.wheel.Stop(k.timer)
-		delete(x.calls, k.cic)
-		x.r.open--
+// freeCircuit ends a call, unless its circuit already carries another one.
+func (c *client) freeCircuit(call *attempt) {
+	if c.calls[call.cic] == call {
+		c.r.wheel.Stop(call.timer)
+		delete(c.calls, call.cic)
+		c.r.openCalls--
 	}
 }
 
-// again dials once more, if the caller has tries left.
-func (x *client) again(k *call) {
-	if k.redials <= 0 || x.r.over {
+// redial schedules another attempt if the call has redials left and the span is not over.
+func (c *client) redial(call *attempt) {
+	if call.redials <= 0 || c.r.spanOver {
 		return
 	}
-	due := x.r.now() + x.r.c.Redial
-	x.r.wheel.Set(due, func() {
-		if !x.r.over {
-			x.try(&call{Arrival: k.Arrival, due: due, first: k.first, redials: k.redials - 1})
+	due := c.r.now() + c.r.cfg.Redial
+	c.r.wheel.Set(due, func() {
+		if !c.r.spanOver {
+			c.dial(&attempt{Arrival: call.Arrival, due: due, firstDue: call.firstDue, redials: call.redials - 1})
 		}
 	})
 }
 
-func (x *client) take(m *isup.Message) {
-	k, r := x.calls[m.CIC], x.r
-	switch m.Type {
+func (c *client) handleMessage(msg *isup.Message) {
+	call, r := c.calls[msg.CIC], c.r
+	switch msg.Type {
 	case isup.ACM, isup.CPG:
-		if k == nil || k.state != waiting {
+		if call == nil || call.state != statePending {
 			return
 		}
 		r.t.Alerted++
-		r.setUp.RecordValue(max(1, (r.now() - k.due).Microseconds()))
-		r.wheel.Stop(k.timer)
-		k.state = ringing
-		k.timer = r.wheel.Set(r.now()+r.c.Classes[k.Class].Ring, func() {
+		r.setUp.RecordValue(max(1, (r.now() - call.due).Microseconds()))
+		r.wheel.Stop(call.timer)
+		call.state = stateAlerted
+		call.timer = r.wheel.Set(r.now()+r.cfg.Classes[call.Class].Ring, func() {
 			r.t.AbandonedRinging++
-			x.leave(k)
+			c.release(call)
 		})
 	case isup.ANM, isup.CON:
-		if k == nil || k.state != waiting && k.state != ringing {
+		if call == nil || call.state != statePending && call.state != stateAlerted {
 			return
 		}
 		r.t.Answered++
-		r.seconds[k.first/time.Second].Answered++
-		if k.state == waiting {
-			r.setUp.RecordValue(max(1, (r.now() - k.due).Microseconds()))
+		r.seconds[call.firstDue/time.Second].Answered++
+		if call.state == statePending {
+			r.setUp.RecordValue(max(1, (r.now() - call.due).Microseconds()))
 		}
-		r.answer.RecordValue(max(1, (r.now() - k.due).Microseconds()))
-		r.wheel.Stop(k.timer)
-		k.state = standing
-		k.timer = r.wheel.Set(r.now()+k.Hold, func() {
+		r.answer.RecordValue(max(1, (r.now() - call.due).Microseconds()))
+		r.wheel.Stop(call.timer)
+		call.state = stateEstablished
+		call.timer = r.wheel.Set(r.now()+call.Hold, func() {
 			r.t.Finished++
-			x.leave(k)
+			c.release(call)
 		})
 	case isup.REL:
-		x.send(&isup.Message{Type: isup.RLC, CIC: m.CIC})
-		if k == nil || k.state == releasing {
+		c.send(&isup.Message{Type: isup.RLC, CIC: msg.CIC})
+		if call == nil || call.state == stateReleasing {
 			return
 		}
-		x.free(k)
-		r.t.Causes[fmt.Sprint(m.Cause)]++
+		c.freeCircuit(call)
+		r.t.Causes[fmt.Sprint(msg.Cause)]++
 		switch {
-		case k.state == waiting, k.state == ringing:
+		case call.state == statePending, call.state == stateAlerted:
 			r.t.Refused++
-			if m.Cause != isup.CauseNoAnswer && m.Cause != isup.CauseNoUser { // nobody is there
-				x.again(k)
+			if msg.Cause != isup.CauseNoAnswer && msg.Cause != isup.CauseNoUser { // the called party does not answer: an immediate redial would be of no use
+				c.redial(call)
 			}
-		case m.Cause == isup.CauseNormal:
+		case msg.Cause == isup.CauseNormal:
 			r.t.Finished++
 		default:
 			r.t.Cut++
-			x.again(k)
+			c.redial(call)
 		}
 	case isup.RLC:
-		if k != nil && k.state == releasing {
-			x.free(k)
+		if call != nil && call.state == stateReleasing {
+			c.freeCircuit(call)
 		}
 	}
 }
