--- a/bench/bench.go
+++ b/bench/bench.go
@@ -1,6 +1,6 @@
-// Package bench measures the full path of a call on loopback sockets: a running controller beside a bare relay, which
-// passes the same frames over the same sockets with no call table and no decisions. Both run as processes of their own;
-// client and switches are plain responders in this one.
+// Package bench measures the full path of a call on loopback sockets, with a running controller and, for comparison, with a bare
+// relay, which passes the same frames over the same sockets without a call table and without decisions. Controller and relay run
+// as processes of their own; the client and the switches are simple responders in this process.
 package bench
 
 import (
@@ -29,36 +29,36 @@
 	"github.com/umbergauge/umbergauge/m3ua"
 )
 
-// Options say what is measured.
+// Options set what is measured.
 type Options struct {
-	Exchanges int           // the own one included
-	Window    int           // calls under way at once, when calls a second are measured
-	Rate      float64       // calls a second, when delay is measured
-	Span      time.Duration // of each measurement
-	WarmUp    time.Duration
-	Program   string   // the binary that is run as controller and relay
-	Profile   string   // file for the controller's CPU profile, if any
-	Hooks     []string // scripts of the controller
+	Exchanges int           // number of exchanges, the controller's own included
+	Window    int           // number of concurrent calls while throughput is measured
+	Rate      float64       // calls a second while delay is measured; 0: delay is not measured
+	Span      time.Duration // duration of each measurement
+	WarmUp    time.Duration // duration of the closed loop before a measurement
+	Program   string        // binary that is run as controller and as relay
+	Profile   string        // file for the controller's CPU profile; empty: none
+	Hooks     []string      // files of the controller's hook scripts
 }
 
-// Figures are those of one subject.
+// Figures are the measurements of the controller or the relay.
 type Figures struct {
 	CallsPerSecond float64    `json:"calls_per_second"`
 	Refused        uint64     `json:"refused"`
-	DelayMicros    [4]float64 `json:"delay_us_p50_p99_p999_max"` // IAM in to IAM out
+	DelayMicros    [4]float64 `json:"delay_us_p50_p99_p999_max"` // from IAM sent by the client to IAM received by the switch
 	CPUPerCall     float64    `json:"cpu_us_per_call"`
 	RSSMiB         float64    `json:"rss_mib"`
-	Out            float64    `json:"out"` // of the controller: calls owed an answer, on average
+	Out            float64    `json:"out"` // controller only: mean number of calls pending, not answered yet
 }
 
-// Result is one run.
+// Result is the result of one run.
 type Result struct {
 	Exchanges      int        `json:"exchanges"`
-	Relay          Figures    `json:"relay"`           // as many calls under way as with the controller
-	Unbounded      Figures    `json:"relay_unbounded"` // sixteen times as many
-	Bounded        Figures    `json:"relay_bounded"`   // as many as the controller has out
+	Relay          Figures    `json:"relay"`           // as many concurrent calls as with the controller
+	Unbounded      Figures    `json:"relay_unbounded"` // sixteen times as many concurrent calls
+	Bounded        Figures    `json:"relay_bounded"`   // as many concurrent calls as the controller had pending
 	Controller     Figures    `json:"controller"`
-	Ratio          float64    `json:"calls_ratio"` // controller to relay
+	Ratio          float64    `json:"calls_ratio"` // calls a second, controller relative to relay
 	RatioUnbounded float64    `json:"calls_ratio_unbounded"`
 	RatioBounded   float64    `json:"calls_ratio_bounded"`
 	AddedUS        [3]float64 `json:"added_delay_us_p50_p99_p999"`
@@ -66,291 +66,294 @@
 }
 
 const (
-	clientPC  = 9000
-	selfPC    = 1
-	firstFar  = 2
-	circuits  = 4000
-	frameRoom = 256
+	clientPC         = 9000
+	ownPC            = 1
+	firstFarPC       = 2
+	circuitsPerGroup = 4000
+	frameBufferSize  = 256
 )
 
-// Run measures the relay, then the controller.
-func Run(ctx context.Context, o Options) (Result, error) {
-	res := Result{Exchanges: o.Exchanges, Cores: runtime.NumCPU()}
+// Run measures the relay, the controller, and then the relay with other numbers of concurrent calls.
+func Run(ctx context.Context, options Options) (Result, error) {
+	result := Result{Exchanges: options.Exchanges, Cores: runtime.NumCPU()}
 	var err error
-	if res.Relay, err = measure(ctx, o, true); err != nil {
-		return res, fmt.Errorf("relay: %w", err)
+	if result.Relay, err = measure(ctx, options, true); err != nil {
+		return result, fmt.Errorf("relay: %w", err)
 	}
-	if res.Controller, err = measure(ctx, o, false); err != nil {
-		return res, fmt.Errorf("controller: %w", err)
+	if result.Controller, err = measure(ctx, options, false); err != nil {
+		return result, fmt.Errorf("controller: %w", err)
 	}
-	for _, x := range []struct {
+	for _, comparison := range []struct {
 		window float64
 		to     *Figures
 		ratio  *float64
-	}{{float64(o.Window) * 16, &res.Unbounded, &res.RatioUnbounded}, {res.Controller.Out, &res.Bounded, &res.RatioBounded}} {
-		w := o
-		w.Window, w.Rate = min(4000, max(1, int(math.Round(x.window)))), 0
-		if *x.to, err = measure(ctx, w, true); err != nil {
-			return res, fmt.Errorf("relay: %w", err)
+	}{{float64(options.Window) * 16, &result.Unbounded, &result.RatioUnbounded}, {result.Controller.Out, &result.Bounded, &result.RatioBounded}} {
+		comparisonOptions := options
+		comparisonOptions.Window, comparisonOptions.Rate = min(4000, max(1, int(math.Round(comparison.window)))), 0
+		if *comparison.to, err = measure(ctx, comparisonOptions, true); err != nil {
+			return result, fmt.Errorf("relay: %w", err)
 		}
-		*x.ratio = res.Controller.CallsPerSecond / x.to.CallsPerSecond
+		*comparison.ratio = result.Controller.CallsPerSecond / comparison.to.CallsPerSecond
 	}
-	res.Ratio = res.Controller.CallsPerSecond / res.Relay.CallsPerSecond
-	for i := range res.AddedUS {
-		res.AddedUS[i] = res.Controller.DelayMicros[i] - res.Relay.DelayMicros[i]
+	result.Ratio = result.Controller.CallsPerSecond / result.Relay.CallsPerSecond
+	for i := range result.AddedUS {
+		result.AddedUS[i] = result.Controller.DelayMicros[i] - result.Relay.DelayMicros[i]
 	}
-	return res, nil
+	return result, nil
 }
 
-// rig is the world around one subject.
-type rig struct {
-	o         Options
-	listeners []net.Listener
-	wg        sync.WaitGroup
-	sent      [1 << 16]atomic.Int64 // by call reference, when its IAM was written
-	mu        sync.Mutex
-	hist      *hdrhistogram.Histogram
-	timing    atomic.Bool
-	start     time.Time
+// testbed holds the emulated switches around one controller or relay, and its delay measurement.
+type testbed struct {
+	options        Options
+	listeners      []net.Listener
+	wg             sync.WaitGroup
+	iamSentAt      [1 << 16]atomic.Int64 // time at which the IAM was written, by call reference, in microseconds since start
+	mu             sync.Mutex
+	delays         *hdrhistogram.Histogram
+	measuringDelay atomic.Bool
+	start          time.Time
 }
 
-func measure(ctx context.Context, o Options, relay bool) (f Figures, err error) {
+// measure measures one process: the relay, or the controller.
+func measure(ctx context.Context, options Options, relay bool) (figures Figures, err error) {
 	ctx, cancel := context.WithCancel(ctx)
-	r := &rig{o: o, hist: hdrhistogram.New(1, 60_000_000, 3), start: time.Now()}
-	defer r.wg.Wait()
+	bed := &testbed{options: options, delays: hdrhistogram.New(1, 60_000_000, 3), start: time.Now()}
+	defer bed.wg.Wait()
 	defer func() {
-		for _, l := range r.listeners {
+		for _, l := range bed.listeners {
 			l.Close()
 		}
 	}()
 	defer cancel()
 	var addrs []string
-	for i := range o.Exchanges {
+	for i := range options.Exchanges {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return f, err
+			return figures, err
 		}
-		r.listeners = append(r.listeners, l)
+		bed.listeners = append(bed.listeners, l)
 		addrs = append(addrs, l.Addr().String())
-		r.wg.Add(1)
-		go r.accept(ctx, l, uint32(selfPC+i))
+		bed.wg.Add(1)
+		go bed.acceptAsSwitch(ctx, l, uint32(ownPC+i))
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return f, err
+		return figures, err
 	}
 	listen := l.Addr().String()
 	l.Close()
 	dir, err := os.MkdirTemp("", "umbergauge-bench")
 	if err != nil {
-		return f, err
+		return figures, err
 	}
 	defer os.RemoveAll(dir)
 	var cmd *exec.Cmd
 	metrics := ""
 	if relay {
-		cmd = exec.CommandContext(ctx, o.Program, append([]string{"bench", "relay", listen}, addrs...)...)
+		cmd = exec.CommandContext(ctx, options.Program, append([]string{"bench", "relay", listen}, addrs...)...)
 	} else {
 		file := filepath.Join(dir, "controller.yaml")
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return f, err
+			return figures, err
 		}
 		metrics = l.Addr().String()
 		l.Close()
-		if err := writeSettings(file, listen, metrics, addrs, o.Hooks); err != nil {
-			return f, err
+		if err := writeSettings(file, listen, metrics, addrs, options.Hooks); err != nil {
+			return figures, err
 		}
-		cmd = exec.CommandContext(ctx, o.Program, "run", "-c", file)
-		if o.Profile != "" {
-			cmd.Args = append(cmd.Args, "--cpuprofile", o.Profile)
+		cmd = exec.CommandContext(ctx, options.Program, "run", "-c", file)
+		if options.Profile != "" {
+			cmd.Args = append(cmd.Args, "--cpuprofile", options.Profile)
 		}
 	}
 	cmd.WaitDelay = 3 * time.Second
-	cmd.Cancel = func() error { // an orderly end, for the profile
+	cmd.Cancel = func() error { // graceful shutdown, so that the profile is written
 		cmd.Process.Signal(syscall.SIGTERM)
 		return cmd.Process.Signal(syscall.SIGTERM)
 	}
 	if err := cmd.Start(); err != nil {
-		return f, err
+		return figures, err
 	}
 	defer func() {
 		cancel()
 		cmd.Wait()
 	}()
-	c, err := r.connect(ctx, listen)
+	client, err := bed.connect(ctx, listen)
 	if err != nil {
-		return f, err
+		return figures, err
 	}
-	defer c.conn.Close()
-	if _, _, err := c.closedLoop(o.Window, o.WarmUp); err != nil { // windows grow, groups come into agreement
-		return f, err
+	defer client.conn.Close()
+	if _, _, err := client.closedLoop(options.Window, options.WarmUp); err != nil { // windows grow, and circuit states are synchronised
+		return figures, err
 	}
 	cpu := cpuTime(cmd.Process.Pid)
-	outs := make(chan float64, 1)
-	go func() { outs <- meanOut(metrics, o.Span) }()
-	done, refused, err := c.closedLoop(o.Window, o.Span)
-	f.Out = <-outs
+	meanPending := make(chan float64, 1)
+	go func() { meanPending <- meanPendingCalls(metrics, options.Span) }()
+	done, refused, err := client.closedLoop(options.Window, options.Span)
+	figures.Out = <-meanPending
 	if err != nil {
-		return f, err
+		return figures, err
 	}
-	f.CallsPerSecond, f.Refused = float64(done)/o.Span.Seconds(), refused
-	f.CPUPerCall = float64((cpuTime(cmd.Process.Pid) - cpu).Microseconds()) / float64(max(1, done))
-	if o.Rate <= 0 {
-		return f, nil
+	figures.CallsPerSecond, figures.Refused = float64(done)/options.Span.Seconds(), refused
+	figures.CPUPerCall = float64((cpuTime(cmd.Process.Pid) - cpu).Microseconds()) / float64(max(1, done))
+	if options.Rate <= 0 {
+		return figures, nil
 	}
-	r.timing.Store(true)
-	if err := c.openLoop(o.Rate, o.Span); err != nil {
-		return f, err
+	bed.measuringDelay.Store(true)
+	if err := client.openLoop(options.Rate, options.Span); err != nil {
+		return figures, err
 	}
-	r.timing.Store(false)
-	r.mu.Lock()
+	bed.measuringDelay.Store(false)
+	bed.mu.Lock()
 	for i, q := range []float64{50, 99, 99.9, 100} {
-		f.DelayMicros[i] = float64(r.hist.ValueAtQuantile(q))
+		figures.DelayMicros[i] = float64(bed.delays.ValueAtQuantile(q))
 	}
-	r.mu.Unlock()
-	f.RSSMiB = rss(cmd.Process.Pid)
-	return f, nil
+	bed.mu.Unlock()
+	figures.RSSMiB = rssMiB(cmd.Process.Pid)
+	return figures, nil
 }
 
-// meanOut is the mean number of calls that a controller owes an answer, sampled over a span; 0 without metrics.
-func meanOut(metrics string, span time.Duration) float64 {
+// meanPendingCalls is the mean number of calls pending at a controller, sampled over a span; 0 without metrics.
+func meanPendingCalls(metrics string, span time.Duration) float64 {
 	const samples = 20
-	sum, n := 0.0, 0.0
+	sum, count := 0.0, 0.0
 	for range samples {
 		time.Sleep(span / (samples + 2))
 		if metrics == "" {
 			continue
 		}
-		if m, err := scrape("http://" + metrics + "/metrics"); err == nil {
-			sum, n = sum+m["umbergauge_waiting_calls"], n+1
+		if metricValues, err := scrape("http://" + metrics + "/metrics"); err == nil {
+			sum, count = sum+metricValues["umbergauge_waiting_calls"], count+1
 		}
 	}
-	return sum / max(1, n)
+	return sum / max(1, count)
 }
 
+// writeSettings writes a settings file for the controller.
 func writeSettings(file, listen, metrics string, addrs, scripts []string) error {
-	c := config.Default()
-	c.Metrics = metrics
-	c.Hooks.Files = scripts
-	c.Exchange, c.Listen, c.Log.Level = selfPC, listen, "error"
-	c.Classes = []config.Class{{Name: "a", Aim: 2 * time.Second, Patience: 10 * time.Second, Worth: 1}}
-	for i, a := range addrs {
-		x := config.Exchange{PointCode: uint32(selfPC + i), Switch: []string{a}, Prefixes: []string{fmt.Sprintf("%04d", selfPC+i)}}
+	cfg := config.Default()
+	cfg.Metrics = metrics
+	cfg.Hooks.Files = scripts
+	cfg.Exchange, cfg.Listen, cfg.Log.Level = ownPC, listen, "error"
+	cfg.Classes = []config.Class{{Name: "a", Aim: 2 * time.Second, Patience: 10 * time.Second, Worth: 1}}
+	for i, addr := range addrs {
+		exchange := config.Exchange{PointCode: uint32(ownPC + i), Switch: []string{addr}, Prefixes: []string{fmt.Sprintf("%04d", ownPC+i)}}
 		if i > 0 {
-			x.Circuits = circuits
+			exchange.Circuits = circuitsPerGroup
 		}
-		c.Exchanges = append(c.Exchanges, x)
+		cfg.Exchanges = append(cfg.Exchanges, exchange)
 	}
-	b, err := yaml.Marshal(&c)
+	data, err := yaml.Marshal(&cfg)
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(file, b, 0o600)
+	return os.WriteFile(file, data, 0o600)
 }
 
-// accept plays a switch: it answers each set-up at once.
-func (r *rig) accept(ctx context.Context, l net.Listener, pc uint32) {
-	defer r.wg.Done()
+// acceptAsSwitch accepts connections as a switch that answers each set-up at once.
+func (bed *testbed) acceptAsSwitch(ctx context.Context, l net.Listener, pc uint32) {
+	defer bed.wg.Done()
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		r.wg.Add(1)
+		bed.wg.Add(1)
 		go func() {
-			defer r.wg.Done()
+			defer bed.wg.Done()
 			defer conn.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
-			r.respond(conn, pc)
+			bed.respondAsSwitch(conn, pc)
 		}()
 	}
 }
 
-// respond answers frames in batches.
-func (r *rig) respond(conn net.Conn, pc uint32) {
-	sc := m3ua.NewScanner(conn)
-	var m m3ua.Message
-	var u isup.Message
-	var out, user []byte
+// respondAsSwitch responds to the frames of one connection, in batches.
+func (bed *testbed) respondAsSwitch(conn net.Conn, pc uint32) {
+	scanner := m3ua.NewScanner(conn)
+	var msg m3ua.Message
+	var isupMsg isup.Message
+	var replies, userPart []byte
 	for {
-		f, err := sc.Next()
+		frame, err := scanner.Next()
 		if err != nil {
 			return
 		}
-		if m3ua.Decode(f, &m) != nil {
+		if m3ua.Decode(frame, &msg) != nil {
 			return
 		}
-		data := func(x *isup.Message) {
-			user = isup.Append(user[:0], x)
-			out = m3ua.Append(out, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: m.Data.DPC, DPC: m.Data.OPC, SI: 5, NI: 2, User: user}})
+		reply := func(x *isup.Message) {
+			userPart = isup.Append(userPart[:0], x)
+			replies = m3ua.Append(replies, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: msg.Data.DPC, DPC: msg.Data.OPC, SI: 5, NI: 2, User: userPart}})
 		}
-		switch m.Kind {
+		switch msg.Kind {
 		case m3ua.ASPUP:
-			out = m3ua.Append(out, &m3ua.Message{Kind: m3ua.ASPUPAck})
+			replies = m3ua.Append(replies, &m3ua.Message{Kind: m3ua.ASPUPAck})
 		case m3ua.ASPAC:
-			out = m3ua.Append(out, &m3ua.Message{Kind: m3ua.ASPACAck})
+			replies = m3ua.Append(replies, &m3ua.Message{Kind: m3ua.ASPACAck})
 		case m3ua.BEAT:
-			out = m3ua.Append(out, &m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: m.Heartbeat})
+			replies = m3ua.Append(replies, &m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: msg.Heartbeat})
 		case m3ua.DATA:
-			if isup.Decode(m.Data.User, &u) != nil {
+			if isup.Decode(msg.Data.User, &isupMsg) != nil {
 				return
 			}
-			switch u.Type {
+			switch isupMsg.Type {
 			case isup.IAM:
-				if r.timing.Load() {
-					if at := r.sent[u.Ref.ID&0xffff].Load(); at > 0 {
-						d := time.Since(r.start).Microseconds() - at
-						r.mu.Lock()
-						r.hist.RecordValue(max(1, d))
-						r.mu.Unlock()
+				if bed.measuringDelay.Load() {
+					if at := bed.iamSentAt[isupMsg.Ref.ID&0xffff].Load(); at > 0 {
+						delay := time.Since(bed.start).Microseconds() - at
+						bed.mu.Lock()
+						bed.delays.RecordValue(max(1, delay))
+						bed.mu.Unlock()
 					}
 				}
-				data(&isup.Message{Type: isup.ACM, CIC: u.CIC})
-				data(&isup.Message{Type: isup.ANM, CIC: u.CIC})
+				reply(&isup.Message{Type: isup.ACM, CIC: isupMsg.CIC})
+				reply(&isup.Message{Type: isup.ANM, CIC: isupMsg.CIC})
 			case isup.REL:
-				data(&isup.Message{Type: isup.RLC, CIC: u.CIC})
+				reply(&isup.Message{Type: isup.RLC, CIC: isupMsg.CIC})
 			case isup.CQM:
-				s := make([]byte, int(u.Range)+1)
-				for i := range s {
-					s[i] = isup.CircuitIdle
+				states := make([]byte, int(isupMsg.Range)+1)
+				for i := range states {
+					states[i] = isup.CircuitIdle
 				}
-				data(&isup.Message{Type: isup.CQR, CIC: u.CIC, Range: u.Range, Circuits: s})
+				reply(&isup.Message{Type: isup.CQR, CIC: isupMsg.CIC, Range: isupMsg.Range, Circuits: states})
 			}
 		}
-		if len(out) > 0 && (!sc.Buffered() || len(out) > 32*1024) {
-			if _, err := conn.Write(out); err != nil {
+		if len(replies) > 0 && (!scanner.Buffered() || len(replies) > 32*1024) {
+			if _, err := conn.Write(replies); err != nil {
 				return
 			}
-			out = out[:0]
+			replies = replies[:0]
 		}
 	}
 }
 
-// driver is the client.
+// driver is the client that makes the calls.
 type driver struct {
-	r     *rig
-	conn  net.Conn
-	sc    *m3ua.Scanner
-	next  uint32
-	calls [4096]uint8 // by circuit: 0 idle, 1 set up, 2 released
-	out   []byte
-	user  []byte
-	iam   isup.Message
+	bed           *testbed
+	conn          net.Conn
+	scanner       *m3ua.Scanner
+	lastReference uint32
+	calls         [4096]uint8 // by circuit: 0 idle, 1 being set up, 2 REL sent after the answer
+	pending       []byte
+	userPart      []byte
+	iam           isup.Message
 }
 
-func (r *rig) connect(ctx context.Context, addr string) (*driver, error) {
+// connect connects the client to the controller or relay, which may still be starting.
+func (bed *testbed) connect(ctx context.Context, addr string) (*driver, error) {
 	var d net.Dialer
 	for range 200 {
 		conn, err := d.DialContext(ctx, "tcp", addr)
 		if err == nil {
-			c := &driver{r: r, conn: conn, sc: m3ua.NewScanner(conn)}
-			c.out = m3ua.Append(c.out, &m3ua.Message{Kind: m3ua.ASPUP, HasASPID: true, ASPID: clientPC})
-			c.out = m3ua.Append(c.out, &m3ua.Message{Kind: m3ua.ASPAC})
+			c := &driver{bed: bed, conn: conn, scanner: m3ua.NewScanner(conn)}
+			c.pending = m3ua.Append(c.pending, &m3ua.Message{Kind: m3ua.ASPUP, HasASPID: true, ASPID: clientPC})
+			c.pending = m3ua.Append(c.pending, &m3ua.Message{Kind: m3ua.ASPAC})
 			if err := c.flush(); err != nil {
 				return nil, err
 			}
-			time.Sleep(time.Second) // its associations and queries
+			time.Sleep(time.Second) // for the controller's associations and circuit queries
 			return c, nil
 		}
 		select {
@@ -359,73 +362,75 @@
 			return nil, ctx.Err()
 		}
 	}
-	return nil, errors.New("it takes no connection")
+	return nil, errors.New("no connection accepted within 200 attempts")
 }
 
+// flush writes the pending frames.
 func (c *driver) flush() error {
-	if len(c.out) == 0 {
+	if len(c.pending) == 0 {
 		return nil
 	}
-	_, err := c.conn.Write(c.out)
-	c.out = c.out[:0]
+	_, err := c.conn.Write(c.pending)
+	c.pending = c.pending[:0]
 	return err
 }
 
-// data queues a message on a circuit. The relay goes by the DPC; the controller by the called number.
-func (c *driver) data(cic uint16, m *isup.Message) {
-	m.CIC = cic
-	c.user = isup.Append(c.user[:0], m)
-	dpc := uint32(firstFar + int(cic)%(c.r.o.Exchanges-1))
-	c.out = m3ua.Append(c.out, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: clientPC, DPC: dpc, SI: 5, NI: 2, User: c.user}})
+// data queues a message on a circuit. The relay routes by the DPC, the controller by the called number.
+func (c *driver) data(cic uint16, msg *isup.Message) {
+	msg.CIC = cic
+	c.userPart = isup.Append(c.userPart[:0], msg)
+	dpc := uint32(firstFarPC + int(cic)%(c.bed.options.Exchanges-1))
+	c.pending = m3ua.Append(c.pending, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: clientPC, DPC: dpc, SI: 5, NI: 2, User: c.userPart}})
 }
 
+// call queues the IAM of a new call on a circuit.
 func (c *driver) call(cic uint16) {
-	c.next++
-	called, _ := isup.ParseNumber(4, fmt.Sprintf("%04d%06d", firstFar+int(cic)%(c.r.o.Exchanges-1), c.next%1000000))
+	c.lastReference++
+	called, _ := isup.ParseNumber(4, fmt.Sprintf("%04d%06d", firstFarPC+int(cic)%(c.bed.options.Exchanges-1), c.lastReference%1000000))
 	calling, _ := isup.ParseNumber(4, "82105550000")
 	c.iam = isup.Message{Type: isup.IAM, Category: isup.CategoryOrdinary, Medium: 3, Called: called, HasCalling: true, Calling: calling,
-		HasRef: true, Ref: isup.CallReference{ID: c.next & 0xffff, PC: clientPC}}
-	c.r.sent[c.next&0xffff].Store(time.Since(c.r.start).Microseconds())
+		HasRef: true, Ref: isup.CallReference{ID: c.lastReference & 0xffff, PC: clientPC}}
+	c.bed.iamSentAt[c.lastReference&0xffff].Store(time.Since(c.bed.start).Microseconds())
 	c.data(cic, &c.iam)
 	c.calls[cic] = 1
 }
 
-// take handles one frame; over: the call on its circuit is over.
-func (c *driver) take(f []byte) (cic uint16, over, refused bool, err error) {
-	var m m3ua.Message
-	var u isup.Message
-	if err := m3ua.Decode(f, &m); err != nil {
+// handleFrame handles one frame; ended is true if the call on its circuit has ended with it.
+func (c *driver) handleFrame(frame []byte) (cic uint16, ended, refused bool, err error) {
+	var msg m3ua.Message
+	var isupMsg isup.Message
+	if err := m3ua.Decode(frame, &msg); err != nil {
 		return 0, false, false, err
 	}
-	switch m.Kind {
+	switch msg.Kind {
 	case m3ua.BEAT:
-		c.out = m3ua.Append(c.out, &m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: m.Heartbeat})
+		c.pending = m3ua.Append(c.pending, &m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: msg.Heartbeat})
 		return
 	case m3ua.DATA:
 	default:
 		return
 	}
-	if err := isup.Decode(m.Data.User, &u); err != nil {
+	if err := isup.Decode(msg.Data.User, &isupMsg); err != nil {
 		return 0, false, false, err
 	}
-	switch u.Type {
+	switch isupMsg.Type {
 	case isup.ANM, isup.CON:
-		if c.calls[u.CIC] == 1 {
-			c.calls[u.CIC] = 2
-			c.data(u.CIC, &isup.Message{Type: isup.REL, Cause: isup.CauseNormal})
+		if c.calls[isupMsg.CIC] == 1 {
+			c.calls[isupMsg.CIC] = 2
+			c.data(isupMsg.CIC, &isup.Message{Type: isup.REL, Cause: isup.CauseNormal})
 		}
 	case isup.REL:
-		c.data(u.CIC, &isup.Message{Type: isup.RLC})
-		refused, over = true, c.calls[u.CIC] != 0
-		c.calls[u.CIC] = 0
+		c.data(isupMsg.CIC, &isup.Message{Type: isup.RLC})
+		refused, ended = true, c.calls[isupMsg.CIC] != 0
+		c.calls[isupMsg.CIC] = 0
 	case isup.RLC:
-		over = c.calls[u.CIC] != 0
-		c.calls[u.CIC] = 0
+		ended = c.calls[isupMsg.CIC] != 0
+		c.calls[isupMsg.CIC] = 0
 	}
-	return u.CIC, over, refused, nil
+	return isupMsg.CIC, ended, refused, nil
 }
 
-// closedLoop keeps a number of calls under way for a while and counts those that are done.
+// closedLoop keeps a number of concurrent calls for a span and counts those completed and refused.
 func (c *driver) closedLoop(window int, span time.Duration) (done, refused uint64, err error) {
 	end := time.Now().Add(span)
 	open := 0
@@ -435,24 +440,24 @@
 	}
 	c.conn.SetReadDeadline(end.Add(20 * time.Second))
 	for open > 0 {
-		if !c.sc.Buffered() {
+		if !c.scanner.Buffered() {
 			if err := c.flush(); err != nil {
 				return done, refused, err
 			}
 		}
-		f, err := c.sc.Next()
+		frame, err := c.scanner.Next()
 		if err != nil {
 			return done, refused, err
 		}
-		cic, over, no, err := c.take(f)
+		cic, ended, rejected, err := c.handleFrame(frame)
 		if err != nil {
 			return done, refused, err
 		}
-		if !over {
+		if !ended {
 			continue
 		}
 		now := time.Now()
-		if no {
+		if rejected {
 			refused++
 		} else if now.Before(end) {
 			done++
@@ -466,31 +471,31 @@
 	return done, refused, c.flush()
 }
 
-// openLoop offers calls at a rate, whatever becomes of them, so that a slow answer delays no later call.
+// openLoop offers calls at a rate, independent of their outcomes, so that a slow answer does not delay later calls.
 func (c *driver) openLoop(rate float64, span time.Duration) error {
-	type word struct {
+	type received struct {
 		frame []byte
 		err   error
 	}
-	in := make(chan word, 4096)
+	incoming := make(chan received, 4096)
 	c.conn.SetReadDeadline(time.Now().Add(span + time.Second))
-	c.r.wg.Add(1)
+	c.bed.wg.Add(1)
 	go func() {
-		defer c.r.wg.Done()
-		defer close(in)
+		defer c.bed.wg.Done()
+		defer close(incoming)
 		for {
-			f, err := c.sc.Next()
+			buffer, err := c.scanner.Next()
 			if err != nil {
 				return
 			}
-			in <- word{append(make([]byte, 0, frameRoom), f...), nil}
+			incoming <- received{append(make([]byte, 0, frameBufferSize), buffer...), nil}
 		}
 	}()
-	begin := time.Now()
+	start := time.Now()
 	sent, cic := 0, 0
-	var idle time.Duration = 200 * time.Microsecond
-	for time.Since(begin) < span {
-		for float64(sent) < rate*time.Since(begin).Seconds() {
+	var pollInterval time.Duration = 200 * time.Microsecond
+	for time.Since(start) < span {
+		for float64(sent) < rate*time.Since(start).Seconds() {
 			for range 4000 {
 				cic = cic%4000 + 1
 				if c.calls[cic] == 0 {
@@ -504,21 +509,21 @@
 			}
 		}
 		select {
-		case w, ok := <-in:
+		case w, ok := <-incoming:
 			if !ok {
-				return errors.New("the connection ended")
+				return errors.New("the connection was closed during the open loop")
 			}
-			if _, _, _, err := c.take(w.frame); err != nil {
+			if _, _, _, err := c.handleFrame(w.frame); err != nil {
 				return err
 			}
 			if err := c.flush(); err != nil {
 				return err
 			}
-		case <-time.After(idle):
+		case <-time.After(pollInterval):
 		}
 	}
-	for w := range in { // until the read deadline
-		if _, _, _, err := c.take(w.frame); err != nil {
+	for w := range incoming { // until the read deadline expires
+		if _, _, _, err := c.handleFrame(w.frame); err != nil {
 			return err
 		}
 		if err := c.flush(); err != nil {
@@ -528,111 +533,112 @@
 	return nil
 }
 
-// Relay passes frames between a client and switches: from the client by their DPC, back as they are. It answers the
-// client's and asks the switches' associations, and knows nothing else.
+// Relay passes frames between one client and switches: DATA from the client to the switch of its DPC, DATA from the switches to
+// the client. It sets up the associations on both sides and does nothing else.
 func Relay(ctx context.Context, listen string, addrs []string) error {
-	l, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
 	}
-	defer l.Close()
-	defer context.AfterFunc(ctx, func() { l.Close() })()
-	client, err := l.Accept()
+	defer listener.Close()
+	defer context.AfterFunc(ctx, func() { listener.Close() })()
+	client, err := listener.Accept()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	type half struct {
+	type peer struct {
 		mu sync.Mutex
 		w  *bufio.Writer
 	}
-	back := &half{w: bufio.NewWriterSize(client, 64*1024)}
-	far := make([]*half, len(addrs))
+	toClient := &peer{w: bufio.NewWriterSize(client, 64*1024)}
+	switches := make([]*peer, len(addrs))
 	var wg sync.WaitGroup
-	for i, a := range addrs {
-		conn, err := net.Dial("tcp", a)
+	for i, addr := range addrs {
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return err
 		}
 		defer conn.Close()
-		far[i] = &half{w: bufio.NewWriterSize(conn, 64*1024)}
+		switches[i] = &peer{w: bufio.NewWriterSize(conn, 64*1024)}
 		conn.Write(m3ua.Append(nil, &m3ua.Message{Kind: m3ua.ASPUP}))
 		conn.Write(m3ua.Append(nil, &m3ua.Message{Kind: m3ua.ASPAC}))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			sc := m3ua.NewScanner(conn)
+			scanner := m3ua.NewScanner(conn)
 			for {
-				f, err := sc.Next()
+				frame, err := scanner.Next()
 				if err != nil {
 					return
 				}
-				if f[2] != 1 { // only DATA goes on
+				if frame[2] != 1 { // only messages of the Transfer class (DATA) are relayed
 					continue
 				}
-				back.mu.Lock()
-				back.w.Write(f)
-				if !sc.Buffered() {
-					back.w.Flush()
+				toClient.mu.Lock()
+				toClient.w.Write(frame)
+				if !scanner.Buffered() {
+					toClient.w.Flush()
 				}
-				back.mu.Unlock()
+				toClient.mu.Unlock()
 			}
 		}()
 	}
-	sc := m3ua.NewScanner(client)
-	dirty := map[*half]bool{}
+	scanner := m3ua.NewScanner(client)
+	dirty := map[*peer]bool{}
 	for {
-		f, err := sc.Next()
+		frame, err := scanner.Next()
 		if err != nil {
 			return nil
 		}
-		if f[2] == 1 {
-			// The parameter header, the OPC, and then the DPC of Protocol Data.
-			dpc := int(uint32(f[16])<<24 | uint32(f[17])<<16 | uint32(f[18])<<8 | uint32(f[19]))
-			if i := dpc - selfPC; i >= 0 && i < len(far) {
-				far[i].w.Write(f)
-				dirty[far[i]] = true
+		if frame[2] == 1 {
+			// The DPC follows the common header (8 octets), and the parameter header and OPC (4 each) of Protocol Data.
+			dpc := int(uint32(frame[16])<<24 | uint32(frame[17])<<16 | uint32(frame[18])<<8 | uint32(frame[19]))
+			if i := dpc - ownPC; i >= 0 && i < len(switches) {
+				switches[i].w.Write(frame)
+				dirty[switches[i]] = true
 			}
-		} else if m3ua.Kind(f[2])<<8|m3ua.Kind(f[3]) == m3ua.ASPUP {
-			back.mu.Lock()
-			back.w.Write(m3ua.Append(nil, &m3ua.Message{Kind: m3ua.ASPUPAck}))
-			back.w.Write(m3ua.Append(nil, &m3ua.Message{Kind: m3ua.ASPACAck}))
-			back.w.Flush()
-			back.mu.Unlock()
-		}
-		if !sc.Buffered() {
-			for h := range dirty {
-				h.w.Flush()
-				delete(dirty, h)
+		} else if m3ua.Kind(frame[2])<<8|m3ua.Kind(frame[3]) == m3ua.ASPUP {
+			toClient.mu.Lock()
+			toClient.w.Write(m3ua.Append(nil, &m3ua.Message{Kind: m3ua.ASPUPAck}))
+			toClient.w.Write(m3ua.Append(nil, &m3ua.Message{Kind: m3ua.ASPACAck}))
+			toClient.w.Flush()
+			toClient.mu.Unlock()
+		}
+		if !scanner.Buffered() {
+			for written := range dirty {
+				written.w.Flush()
+				delete(dirty, written)
 			}
 		}
 	}
 }
 
-// cpuTime is what a process has used so far, user and system.
+// cpuTime returns the user and system CPU time used by a process so far.
 func cpuTime(pid int) time.Duration {
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
-	if len(f) < 13 {
+	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
+	if len(fields) < 13 {
 		return 0
 	}
-	u, _ := strconv.ParseInt(f[11], 10, 64)
-	s, _ := strconv.ParseInt(f[12], 10, 64)
-	return time.Duration(u+s) * 10 * time.Millisecond
+	user, _ := strconv.ParseInt(fields[11], 10, 64)
+	system, _ := strconv.ParseInt(fields[12], 10, 64)
+	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-func rss(pid int) float64 {
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+// rssMiB returns the resident set size of a process in MiB.
+func rssMiB(pid int) float64 {
+	statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
 	}
-	f := strings.Fields(string(b))
-	if len(f) < 2 {
+	fields := strings.Fields(string(statm))
+	if len(fields) < 2 {
 		return 0
 	}
-	n, _ := strconv.ParseFloat(f[1], 64)
-	return n * float64(os.Getpagesize()) / (1 << 20)
+	pages, _ := strconv.ParseFloat(fields[1], 64)
+	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
--- a/bench/process.go
+++ b/bench/process.go
@@ -14,7 +14,7 @@
 	"github.com/umbergauge/umbergauge/internal/config"
 )
 
-// freeAddr is an address on loopback that nobody listens at.
+// freeAddr returns a loopback address with a port that is free at the moment.
 func freeAddr() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,16 +24,16 @@
 	return l.Addr().String(), nil
 }
 
-// startController runs a controller as a process of its own. stop kills it and takes its settings away.
-func startController(ctx context.Context, program string, c *config.Config, stderr io.Writer) (cmd *exec.Cmd, stop func(), err error) {
+// startController runs a controller as a process of its own. stop kills it and removes its settings file.
+func startController(ctx context.Context, program string, cfg *config.Config, stderr io.Writer) (cmd *exec.Cmd, stop func(), err error) {
 	dir, err := os.MkdirTemp("", "umbergauge-bench")
 	if err != nil {
 		return nil, nil, err
 	}
 	file := filepath.Join(dir, "controller.yaml")
-	b, err := yaml.Marshal(c)
+	data, err := yaml.Marshal(cfg)
 	if err == nil {
-		err = os.WriteFile(file, b, 0o600)
+		err = os.WriteFile(file, data, 0o600)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	if err == nil {
