--- a/check/check.go
+++ b/check/check.go
@@ -1,5 +1,5 @@
-// Package check judges a recorded day by the traffic on the sockets alone: the five rules, and service. It knows nothing
-// of controllers and shares only the codecs with them.
+// Package check evaluates a recorded scenario from the traffic on the sockets alone: it reports violations of the five
+// rules and measures service. It is independent of the controllers and shares only the codecs with them.
 package check
 
 import (
@@ -13,38 +13,39 @@
 	"github.com/umbergauge/umbergauge/record"
 )
 
-// Spec is what is right on a day.
+// Spec is what a recording is evaluated against: the limits of the rules, the classes of calls and the numbering plan.
 type Spec struct {
 	Guard      time.Duration
 	DrainGrace time.Duration
 	ColdStart  ColdStart
 	Classes    []Class
-	Exchange   func(number string) (uint32, bool) // behind a number
-	// Slack is allowed for the time between a controller's act and the record of it, and for its knowing of something.
+	Exchange   func(number string) (uint32, bool) // point code of the exchange that serves a number
+	// Slack is the tolerance for the time between a controller's action and its recording, and between an event and the
+	// moment when the controller can know of it.
 	Slack time.Duration
 }
 
-// ColdStart is when a fresh switch is pushed over.
+// ColdStart describes how many set-ups overload a freshly started switch.
 type ColdStart struct {
-	Share    float64 // of its capacity, right after the start
-	WarmUp   time.Duration
-	Multiple float64
+	Share    float64       // of its capacity that it has right after the start
+	WarmUp   time.Duration // until it has its full capacity
+	Multiple float64       // of its present capacity, over Span, from which on it is overloaded
 	Span     time.Duration
 }
 
-// Class is one class of calls, known by the calling party's category.
+// Class is one class of calls, identified by the calling party's category.
 type Class struct {
 	Name      string
 	Category  isup.Category
 	Aim       time.Duration
-	Patience  time.Duration // a try is given up after this, unless it rings by then ...
-	Ring      time.Duration // ... and then after this; 0: a minute
-	GiveUp    time.Duration // the caller gives up for good
+	Patience  time.Duration // the caller abandons a call that has not alerted after this time ...
+	Ring      time.Duration // ... and one that alerts after this time; 0: a minute
+	GiveUp    time.Duration // after which the caller no longer redials
 	Worth     float64
 	LateWorth float64
 }
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule       int           `json:"rule"` // 1 to 5; 6: two calls on one circuit
 	At         time.Duration `json:"at"`
@@ -53,13 +54,13 @@
 	What       string        `json:"what"`
 }
 
-func (f Violation) String() string {
-	return fmt.Sprintf("rule %d at %.3f s, controller %d, call %s: %s", f.Rule, f.At.Seconds(), f.Controller, f.Call, f.What)
+func (v Violation) String() string {
+	return fmt.Sprintf("rule %d at %.3f s, controller %d, call %s: %s", v.Rule, v.At.Seconds(), v.Controller, v.Call, v.What)
 }
 
-// Service is worth earned over worth offered.
+// Service is the worth of calls that was earned, as a share of the worth that was offered.
 type Service struct {
-	Calls  int     `json:"calls"` // first tries
+	Calls  int     `json:"calls"` // without redials
 	Worth  float64 `json:"worth"` // offered
 	Earned float64 `json:"earned"`
 	Share  float64 `json:"service"`
@@ -72,7 +73,7 @@
 	s.Share = s.Earned / s.Worth
 }
 
-// FaultService is the service of calls first offered while a trouble lasted.
+// FaultService is the service of the calls that were first offered while an injected fault was active.
 type FaultService struct {
 	Name    string        `json:"name"`
 	From    time.Duration `json:"from"`
@@ -80,10 +81,10 @@
 	Service Service       `json:"service"`
 }
 
-// Report is the verdict on a day.
+// Report is the result of an evaluation.
 type Report struct {
 	Whole       Service            `json:"whole"`
-	ToAnswer    Service            `json:"whole_to_answer"` // as if the aim ran to the answer, ringing included
+	ToAnswer    Service            `json:"whole_to_answer"` // if the aim applied to the time to answer, ringing included
 	WorstWindow Service            `json:"worst_10s"`
 	WorstFrom   time.Duration      `json:"worst_10s_from"`
 	WorstClass  string             `json:"worst_class"`
@@ -95,169 +96,170 @@
 	Refused     int                `json:"refused_or_failed"`
 	Abandoned   int                `json:"given_up"`
 	Alerted     int                `json:"rang"`
-	NoAnswer    int                `json:"no_answer"` // callers whom nobody answered, in no service
+	NoAnswer    int                `json:"no_answer"` // call intents that alerted and were not answered; they count in no service
 	Cut         int                `json:"cut"`
 	Attempts    int                `json:"attempts"`
 	Tandem      int                `json:"tandem_attempts"`
 	Dual        int                `json:"dual_seizures"`
 	Frames      int                `json:"frames"`
-	DelaysMS    [3]float64         `json:"set_up_ms_p50_p99_max"` // to ACM, or to the answer where none came
+	DelaysMS    [3]float64         `json:"set_up_ms_p50_p99_max"` // to ACM, or to the answer if there was no ACM
 	AnswersMS   [3]float64         `json:"answer_ms_p50_p99_max"`
 }
 
-type ref struct {
+// callRef is the call reference of a call (Q.763), the same in all its messages.
+type callRef struct {
 	id uint32
 	pc uint16
 }
 
-func (r ref) String() string { return fmt.Sprintf("%d.%d", r.pc, r.id) }
+func (r callRef) String() string { return fmt.Sprintf("%d.%d", r.pc, r.id) }
 
-type answer uint8
+type outcome uint8
 
 const (
-	none answer = iota
-	stands
+	pending outcome = iota
+	established
 	refused
 )
 
-// try is one call of a caller, from IAM to the end, as its client saw it.
-type try struct {
-	ref        ref
-	controller uint32
-	link       int32
-	class      int
-	calling    string
-	at         time.Duration
-	rangAt     time.Duration // first ACM
-	answer     answer
-	answerAt   time.Duration
-	cause      isup.Cause    // of the REL that refused it
-	left       time.Duration // the caller gave up or hung up
-	over       bool          // its circuit is clear
-	cut        bool
-	lost       bool // with its connection
-	repeated   bool
-}
-
-type ending uint8
+// clientCall is one call of a caller from its IAM to its end, as its client saw it. A redial is another clientCall.
+type clientCall struct {
+	callRef            callRef
+	controller         uint32
+	link               int32
+	class              int
+	calling            string
+	at                 time.Duration
+	alertedAt          time.Duration // first ACM
+	outcome            outcome
+	outcomeAt          time.Duration
+	cause              isup.Cause    // of the REL that refused the call
+	clientReleasedAt   time.Duration // REL from the client: the caller abandoned the call or hung up
+	cleared            bool          // RLC has been sent to the client
+	cut                bool
+	lost               bool // its client's connection closed
+	controllerReleased bool
+}
+
+type attemptState uint8
 
 const (
-	out      ending = iota // no answer yet
-	answered               // stands, or stood
-	returned               // by the far end
-	released               // by the controller, unanswered
-	lost                   // with its association, circuit or by dual seizure
+	outstanding attemptState = iota // no reply from the switch yet
+	answered                        // even if it has been released since
+	returned                        // released by the far end
+	released                        // released by the controller before an answer
+	lost                            // its association or circuit was lost, or a later IAM took the circuit
 )
 
-func (e ending) String() string {
-	return [...]string{"out", "answered", "returned", "released", "lost"}[e]
+func (s attemptState) String() string {
+	return [...]string{"out", "answered", "returned", "released", "lost"}[s]
 }
 
-// attempt is one set-up of a controller, as the switch saw it.
+// attempt is one set-up that a controller sent to another exchange, as the switch there saw it.
 type attempt struct {
-	ref        ref
-	controller uint32
-	sw         uint32
-	cic        uint16
-	at         time.Duration
-	state      ending
-	end        time.Duration
-	standing   bool
-	stoodAt    time.Duration
-	rang       bool       // its switch has said ACM
-	cause      isup.Cause // of the far end's REL
-}
-
-type legKey struct {
+	callRef       callRef
+	controller    uint32
+	sw            uint32
+	cic           uint16
+	at            time.Duration
+	state         attemptState
+	end           time.Duration
+	established   bool
+	establishedAt time.Duration
+	alerted       bool       // the switch has sent ACM or CPG
+	cause         isup.Cause // of the far end's REL
+}
+
+type clientCallKey struct {
 	link int32
 	opc  uint32
 	cic  uint16
 }
 
 type attemptKey struct {
-	ref        ref
+	callRef    callRef
 	controller uint32
 }
 
-type wayKey struct{ controller, sw uint32 }
+type groupKey struct{ controller, sw uint32 }
 
 type circuitKey struct {
-	wayKey
+	groupKey
 	cic uint16
 }
 
-// transit is a call on its way through a controller.
+// transit is a call from another exchange that a controller routes on to a third.
 type transit struct {
-	ref    ref
-	at     time.Duration
-	class  int
-	rang   bool
-	answer answer
-	over   bool
-}
-
-type judge struct {
-	spec     Spec
-	day      record.Recording
-	report   Report
-	tries    []*try
-	byRef    map[ref]*try
-	legs     map[legKey]*try
-	attempts map[attemptKey][]*attempt
-	circuits map[circuitKey]*attempt
-	transits map[circuitKey]*transit // by the own controller and the exchange that it came from
-	told     map[wayKey]time.Duration
-	cold     map[uint32]*coldSwitch
-	held     map[uint32][]record.Event
-	marks    int
-	closing  []int32 // links by the time of their end
-	delays   []time.Duration
-	answers  []time.Duration
+	callRef callRef
+	at      time.Duration
+	class   int
+	alerted bool
+	outcome outcome
+	cleared bool
+}
+
+type evaluator struct {
+	spec             Spec
+	recording        record.Recording
+	report           Report
+	calls            []*clientCall
+	byRef            map[callRef]*clientCall
+	openCalls        map[clientCallKey]*clientCall
+	attempts         map[attemptKey][]*attempt
+	circuits         map[circuitKey]*attempt
+	transits         map[circuitKey]*transit // by controller, exchange of origin and circuit
+	unavailableSince map[groupKey]time.Duration
+	coldSwitches     map[uint32]*coldSwitch
+	stalls           map[uint32][]record.Event
+	nextEvent        int
+	closingLinks     []int32 // indexes of links, ordered by their closing time
+	setUpDelays      []time.Duration
+	answerDelays     []time.Duration
 }
 
 type coldSwitch struct {
-	at     time.Duration
-	rate   float64
-	recent []time.Duration
-	broken bool
-}
-
-// Evaluate reads a day's record.
-func Evaluate(day record.Recording, spec Spec) Report {
-	j := &judge{spec: spec, day: day, byRef: map[ref]*try{}, legs: map[legKey]*try{}, attempts: map[attemptKey][]*attempt{},
-		circuits: map[circuitKey]*attempt{}, transits: map[circuitKey]*transit{}, told: map[wayKey]time.Duration{},
-		cold: map[uint32]*coldSwitch{}, held: map[uint32][]record.Event{}}
-	j.report.Classes = map[string]Service{}
-	j.spec.Classes = slices.Clone(spec.Classes)
-	for i := range j.spec.Classes {
-		if c := &j.spec.Classes[i]; c.Ring <= 0 {
+	at           time.Duration
+	warmRate     float64
+	recentSetUps []time.Duration
+	violated     bool
+}
+
+// Evaluate checks a recording against spec.
+func Evaluate(recording record.Recording, spec Spec) Report {
+	e := &evaluator{spec: spec, recording: recording, byRef: map[callRef]*clientCall{}, openCalls: map[clientCallKey]*clientCall{}, attempts: map[attemptKey][]*attempt{},
+		circuits: map[circuitKey]*attempt{}, transits: map[circuitKey]*transit{}, unavailableSince: map[groupKey]time.Duration{},
+		coldSwitches: map[uint32]*coldSwitch{}, stalls: map[uint32][]record.Event{}}
+	e.report.Classes = map[string]Service{}
+	e.spec.Classes = slices.Clone(spec.Classes)
+	for i := range e.spec.Classes {
+		if c := &e.spec.Classes[i]; c.Ring <= 0 {
 			c.Ring = time.Minute
 		}
 	}
-	for i, l := range day.Links {
+	for i, l := range recording.Links {
 		if l.Closed > 0 {
-			j.closing = append(j.closing, int32(i))
+			e.closingLinks = append(e.closingLinks, int32(i))
 		}
 	}
-	slices.SortStableFunc(j.closing, func(a, b int32) int { return cmp.Compare(day.Links[a].Closed, day.Links[b].Closed) })
-	for _, m := range day.Events {
+	slices.SortStableFunc(e.closingLinks, func(a, b int32) int { return cmp.Compare(recording.Links[a].Closed, recording.Links[b].Closed) })
+	for _, m := range recording.Events {
 		if m.Kind == record.Stalled {
-			j.held[m.PC] = append(j.held[m.PC], m)
+			e.stalls[m.PC] = append(e.stalls[m.PC], m)
 		}
 	}
 	var m m3ua.Message
 	var u isup.Message
-	for i := range day.Frames {
-		f := &day.Frames[i]
-		j.upTo(f.At)
+	for i := range recording.Frames {
+		f := &recording.Frames[i]
+		e.advanceTo(f.At)
 		if m3ua.Decode(f.Data, &m) != nil {
 			continue
 		}
-		j.report.Frames++
-		link := &day.Links[f.Link]
+		e.report.Frames++
+		link := &recording.Links[f.Link]
 		if m.Kind != m3ua.DATA {
 			if !f.In && link.Kind != record.ClientLink {
-				j.list(f.At, link, &m)
+				e.stateUpdateFrame(f.At, link, &m)
 			}
 			continue
 		}
@@ -266,501 +268,502 @@
 		}
 		switch link.Kind {
 		case record.ClientLink:
-			j.client(f, link, m.Data, &u)
+			e.clientFrame(f, link, m.Data, &u)
 		case record.FarLink:
-			j.far(f, link, &u)
+			e.farFrame(f, link, &u)
 		case record.OwnLink:
-			j.own(f, link, m.Data, &u)
+			e.ownFrame(f, link, m.Data, &u)
 		}
 	}
-	j.upTo(day.End + 1)
-	j.finish()
-	return j.report
+	e.advanceTo(recording.End + 1)
+	e.finish()
+	return e.report
 }
 
-func (j *judge) broken(rule int, at time.Duration, controller uint32, r ref, format string, args ...any) {
-	j.report.Violations = append(j.report.Violations, Violation{rule, at, controller, r.String(), fmt.Sprintf(format, args...)})
+func (e *evaluator) violated(rule int, at time.Duration, controller uint32, reference callRef, format string, args ...any) {
+	e.report.Violations = append(e.report.Violations, Violation{rule, at, controller, reference.String(), fmt.Sprintf(format, args...)})
 }
 
-// upTo plays marks and ends of links up to a time.
-func (j *judge) upTo(t time.Duration) {
-	for ; j.marks < len(j.day.Events) && j.day.Events[j.marks].At <= t; j.marks++ {
-		switch m := j.day.Events[j.marks]; {
-		case m.Kind == record.Started && m.Cold:
-			j.cold[m.PC] = &coldSwitch{at: m.At, rate: m.Value}
-		case m.Kind == record.Started:
-			delete(j.cold, m.PC)
-		case m.Kind == record.Stopped: // it has forgotten its calls
-			delete(j.cold, m.PC)
-			for k, a := range j.circuits {
-				if k.sw == m.PC && a.standing {
-					a.standing = false
-					delete(j.circuits, k)
+// advanceTo processes the recorded events and the closing of links up to time t.
+func (e *evaluator) advanceTo(t time.Duration) {
+	for ; e.nextEvent < len(e.recording.Events) && e.recording.Events[e.nextEvent].At <= t; e.nextEvent++ {
+		switch event := e.recording.Events[e.nextEvent]; {
+		case event.Kind == record.Started && event.Cold:
+			e.coldSwitches[event.PC] = &coldSwitch{at: event.At, warmRate: event.Value}
+		case event.Kind == record.Started:
+			delete(e.coldSwitches, event.PC)
+		case event.Kind == record.Stopped: // a stopped switch has lost its calls
+			delete(e.coldSwitches, event.PC)
+			for k, a := range e.circuits {
+				if k.sw == event.PC && a.established {
+					a.established = false
+					delete(e.circuits, k)
 				}
 			}
 		}
 	}
-	for len(j.closing) > 0 && j.day.Links[j.closing[0]].Closed < t { // a frame of the same instant came before the end
-		j.closed(j.closing[0])
-		j.closing = j.closing[1:]
+	for len(e.closingLinks) > 0 && e.recording.Links[e.closingLinks[0]].Closed < t { // frames with the same time as the closing were received before it
+		e.endLink(e.closingLinks[0])
+		e.closingLinks = e.closingLinks[1:]
 	}
 }
 
-// closed ends what was on a link.
-func (j *judge) closed(id int32) {
-	l := j.day.Links[id]
+// endLink ends the calls and attempts on a closed link.
+func (e *evaluator) endLink(id int32) {
+	l := e.recording.Links[id]
 	switch l.Kind {
 	case record.ClientLink:
-		for k, c := range j.legs {
+		for k, c := range e.openCalls {
 			if k.link == id {
 				c.lost = true
-				delete(j.legs, k)
+				delete(e.openCalls, k)
 			}
 		}
 	case record.FarLink:
-		for k, a := range j.circuits {
-			if k.controller == l.Controller && k.sw == l.Switch && a.state == out {
-				j.end(k, a, lost, l.Closed)
+		for k, a := range e.circuits {
+			if k.controller == l.Controller && k.sw == l.Switch && a.state == outstanding {
+				e.end(k, a, lost, l.Closed)
 			}
 		}
 	case record.OwnLink:
-		for k := range j.transits {
+		for k := range e.transits {
 			if k.controller == l.Controller {
-				delete(j.transits, k)
+				delete(e.transits, k)
 			}
 		}
 	}
 }
 
-func (j *judge) end(k circuitKey, a *attempt, how ending, at time.Duration) {
-	if a.state == out {
-		a.state, a.end = how, at
+func (e *evaluator) end(k circuitKey, a *attempt, finalState attemptState, at time.Duration) {
+	if a.state == outstanding {
+		a.state, a.end = finalState, at
 	}
-	if a.standing {
-		a.standing = false
-		if b := j.circuits[circuitKey{wayKey{k.sw, k.controller}, k.cic}]; b != nil && b.standing {
-			if since := max(a.stoodAt, b.stoodAt); at-since > time.Second {
-				j.broken(6, at, a.controller, a.ref, "it and call %v stood on circuit %d between %d and %d for %v", b.ref, k.cic, k.controller, k.sw, at-since)
+	if a.established {
+		a.established = false
+		if peer := e.circuits[circuitKey{groupKey{k.sw, k.controller}, k.cic}]; peer != nil && peer.established {
+			if bothSince := max(a.establishedAt, peer.establishedAt); at-bothSince > time.Second {
+				e.violated(6, at, a.controller, a.callRef, "it and call %v stood on circuit %d between %d and %d for %v", peer.callRef, k.cic, k.controller, k.sw, at-bothSince)
 			}
 		}
 	}
-	delete(j.circuits, k)
+	delete(e.circuits, k)
 }
 
-// list takes SSNM: what a controller is told of exchanges.
-func (j *judge) list(at time.Duration, l *record.Link, m *m3ua.Message) {
+// stateUpdateFrame processes SSNM: the state updates about other exchanges that a controller receives.
+func (e *evaluator) stateUpdateFrame(at time.Duration, link *record.Link, m *m3ua.Message) {
 	for _, a := range m.Affected {
-		k := wayKey{l.Controller, a.PC}
+		group := groupKey{link.Controller, a.PC}
 		switch m.Kind {
 		case m3ua.DRST, m3ua.DUNA:
-			if _, known := j.told[k]; !known {
-				j.told[k] = at
+			if _, known := e.unavailableSince[group]; !known {
+				e.unavailableSince[group] = at
 			}
 		case m3ua.DAVA:
-			delete(j.told, k)
+			delete(e.unavailableSince, group)
 		}
 	}
 }
 
-func (j *judge) classOf(c isup.Category) int {
-	return max(0, slices.IndexFunc(j.spec.Classes, func(x Class) bool { return x.Category == c }))
+func (e *evaluator) classOf(category isup.Category) int {
+	return max(0, slices.IndexFunc(e.spec.Classes, func(class Class) bool { return class.Category == category }))
 }
 
-// client judges a frame between a client and its controller.
-func (j *judge) client(f *record.Frame, l *record.Link, d m3ua.ProtocolData, m *isup.Message) {
-	opc := d.OPC
-	if f.In {
-		opc = d.DPC
+// clientFrame checks a frame between a client and its controller.
+func (e *evaluator) clientFrame(frame *record.Frame, clientLink *record.Link, data m3ua.ProtocolData, m *isup.Message) {
+	opc := data.OPC
+	if frame.In {
+		opc = data.DPC
 	}
-	k := legKey{f.Link, opc, m.CIC}
-	c := j.legs[k]
-	if !f.In { // from the client
+	key := clientCallKey{frame.Link, opc, m.CIC}
+	call := e.openCalls[key]
+	if !frame.In { // from the client
 		switch m.Type {
 		case isup.IAM:
-			c = &try{ref: ref{m.Ref.ID, m.Ref.PC}, controller: l.Controller, link: f.Link, class: j.classOf(m.Category), calling: m.Calling.String(), at: f.At}
-			j.legs[k] = c
-			j.byRef[c.ref] = c
-			j.tries = append(j.tries, c)
-			j.report.Tries++
+			call = &clientCall{callRef: callRef{m.Ref.ID, m.Ref.PC}, controller: clientLink.Controller, link: frame.Link, class: e.classOf(m.Category), calling: m.Calling.String(), at: frame.At}
+			e.openCalls[key] = call
+			e.byRef[call.callRef] = call
+			e.calls = append(e.calls, call)
+			e.report.Tries++
 		case isup.REL:
-			if c == nil || c.left > 0 {
+			if call == nil || call.clientReleasedAt > 0 {
 				return
 			}
-			c.left = f.At
-			if c.answer == none {
-				if c.rangAt == 0 {
-					j.report.Abandoned++
+			call.clientReleasedAt = frame.At
+			if call.outcome == pending {
+				if call.alertedAt == 0 {
+					e.report.Abandoned++
 				}
-				if j.overdue(c, f.At) >= 0 && !j.excused(c, f.At) {
-					j.broken(1, f.At, l.Controller, c.ref, "no final answer before its caller gave up after %v", f.At-c.at)
+				if e.overdueBy(call, frame.At) >= 0 && !e.excusedByStall(call, frame.At) {
+					e.violated(1, frame.At, clientLink.Controller, call.callRef, "no final answer before its caller gave up after %v", frame.At-call.at)
 				}
 			}
 		}
 		return
 	}
-	if c == nil {
+	if call == nil {
 		if m.Type == isup.ANM || m.Type == isup.CON || m.Type == isup.ACM || m.Type == isup.CPG || m.Type == isup.REL {
-			j.broken(1, f.At, l.Controller, ref{}, "%v on circuit %d, where no call is", m.Type, m.CIC)
+			e.violated(1, frame.At, clientLink.Controller, callRef{}, "%v on circuit %d, where no call is", m.Type, m.CIC)
 		}
 		return
 	}
 	switch m.Type {
 	case isup.RLC:
-		c.over = true
+		call.cleared = true
 	case isup.ACM, isup.CPG:
-		if c.over || c.answer != none {
-			j.broken(1, f.At, l.Controller, c.ref, "%v after its end", m.Type)
-		} else if c.rangAt == 0 {
-			c.rangAt = f.At
-			j.report.Alerted++
-			if !slices.ContainsFunc(j.attempts[attemptKey{c.ref, l.Controller}], func(a *attempt) bool { return a.rang }) {
-				j.broken(1, f.At, l.Controller, c.ref, "%v though no switch has said so: its caller waits for nothing", m.Type)
+		if call.cleared || call.outcome != pending {
+			e.violated(1, frame.At, clientLink.Controller, call.callRef, "%v after its end", m.Type)
+		} else if call.alertedAt == 0 {
+			call.alertedAt = frame.At
+			e.report.Alerted++
+			if !slices.ContainsFunc(e.attempts[attemptKey{call.callRef, clientLink.Controller}], func(a *attempt) bool { return a.alerted }) {
+				e.violated(1, frame.At, clientLink.Controller, call.callRef, "%v though no switch has said so: its caller waits for nothing", m.Type)
 			}
 		}
 	case isup.ANM, isup.CON:
-		if c.over || c.answer != none {
-			j.broken(1, f.At, l.Controller, c.ref, "%v after a final answer", m.Type)
+		if call.cleared || call.outcome != pending {
+			e.violated(1, frame.At, clientLink.Controller, call.callRef, "%v after a final answer", m.Type)
 			return
 		}
-		c.answer, c.answerAt = stands, f.At
-		j.delays = append(j.delays, c.setUpAt()-c.at)
-		j.answers = append(j.answers, f.At-c.at)
-		j.report.Answered++
+		call.outcome, call.outcomeAt = established, frame.At
+		e.setUpDelays = append(e.setUpDelays, call.setUpAt()-call.at)
+		e.answerDelays = append(e.answerDelays, frame.At-call.at)
+		e.report.Answered++
 	case isup.REL:
 		switch {
-		case c.over || c.repeated || c.answer == refused:
-			j.broken(1, f.At, l.Controller, c.ref, "REL after a final answer")
-		case c.answer == none:
-			c.answer, c.answerAt, c.cause = refused, f.At, m.Cause
-			j.report.Refused++
-			if late := j.overdue(c, f.At); c.left == 0 && late > j.spec.Slack && !j.excused(c, f.At) {
-				j.broken(1, f.At, l.Controller, c.ref, "its final answer came %v after its caller's time", late)
+		case call.cleared || call.controllerReleased || call.outcome == refused:
+			e.violated(1, frame.At, clientLink.Controller, call.callRef, "REL after a final answer")
+		case call.outcome == pending:
+			call.outcome, call.outcomeAt, call.cause = refused, frame.At, m.Cause
+			e.report.Refused++
+			if overdue := e.overdueBy(call, frame.At); call.clientReleasedAt == 0 && overdue > e.spec.Slack && !e.excusedByStall(call, frame.At) {
+				e.violated(1, frame.At, clientLink.Controller, call.callRef, "its final answer came %v after its caller's time", overdue)
 			}
 		default:
-			c.repeated = true
-			if c.left == 0 && m.Cause != isup.CauseNormal {
-				c.cut = true
-				j.report.Cut++
+			call.controllerReleased = true
+			if call.clientReleasedAt == 0 && m.Cause != isup.CauseNormal {
+				call.cut = true
+				e.report.Cut++
 			}
 		}
 	}
 }
 
-// overdue is how long a try that is owed its final answer at a time is beyond its caller's time, which begins anew when it
-// rings; below zero it is not.
-func (j *judge) overdue(c *try, at time.Duration) time.Duration {
-	cl := j.spec.Classes[c.class]
-	if c.rangAt > 0 {
-		return at - c.rangAt - cl.Ring
+// overdueBy returns by how much a call without a final answer has exceeded its deadline at a given time; negative: the
+// deadline is still ahead. The deadline counts from the IAM, and from the ACM once the call alerts.
+func (e *evaluator) overdueBy(call *clientCall, at time.Duration) time.Duration {
+	classSpec := e.spec.Classes[call.class]
+	if call.alertedAt > 0 {
+		return at - call.alertedAt - classSpec.Ring
 	}
-	return at - c.at - cl.Patience
+	return at - call.at - classSpec.Patience
 }
 
-// setUpAt is when the set-up of a try that stood was complete.
-func (c *try) setUpAt() time.Duration {
-	if c.rangAt > 0 {
-		return c.rangAt
+// setUpAt is when the set-up of an established call was complete: at its ACM, or at its answer if there was no ACM.
+func (c *clientCall) setUpAt() time.Duration {
+	if c.alertedAt > 0 {
+		return c.alertedAt
 	}
-	return c.answerAt
+	return c.outcomeAt
 }
 
-// excused tells whether the controller of a call was stopped while the call waited.
-func (j *judge) excused(c *try, until time.Duration) bool {
-	for _, h := range j.held[c.controller] {
-		if h.At <= until && h.At+h.Span+j.spec.Slack >= c.at {
+// excusedByStall tells whether the controller of a call was stalled while the call waited for its final answer.
+func (e *evaluator) excusedByStall(call *clientCall, until time.Duration) bool {
+	for _, stall := range e.stalls[call.controller] {
+		if stall.At <= until && stall.At+stall.Span+e.spec.Slack >= call.at {
 			return true
 		}
 	}
 	return false
 }
 
-// far judges a frame between a controller and the switch of another exchange.
-func (j *judge) far(f *record.Frame, l *record.Link, m *isup.Message) {
-	way := wayKey{l.Controller, l.Switch}
-	k := circuitKey{way, m.CIC}
-	a := j.circuits[k]
-	if f.In && m.Type == isup.IAM {
-		j.attempt(f.At, k, m)
+// farFrame checks a frame between a controller and the switch of another exchange.
+func (e *evaluator) farFrame(frame *record.Frame, link *record.Link, m *isup.Message) {
+	group := groupKey{link.Controller, link.Switch}
+	key := circuitKey{group, m.CIC}
+	a := e.circuits[key]
+	if frame.In && m.Type == isup.IAM {
+		e.attempt(frame.At, key, m)
 		return
 	}
 	switch m.Type {
 	case isup.ACM, isup.CPG:
-		if !f.In && a != nil {
-			a.rang = true
+		if !frame.In && a != nil {
+			a.alerted = true
 		}
 	case isup.ANM, isup.CON:
-		if !f.In && a != nil && a.state == out {
-			a.state, a.end, a.standing, a.stoodAt = answered, f.At, true, f.At
+		if !frame.In && a != nil && a.state == outstanding {
+			a.state, a.end, a.established, a.establishedAt = answered, frame.At, true, frame.At
 		}
 	case isup.REL:
 		if a == nil {
 			return
 		}
-		how := returned
-		if f.In {
-			how = released
+		finalState := returned
+		if frame.In {
+			finalState = released
 		} else {
 			a.cause = m.Cause
 		}
-		j.end(k, a, how, f.At)
+		e.end(key, a, finalState, frame.At)
 	case isup.RSC:
 		if a != nil {
-			j.end(k, a, lost, f.At)
+			e.end(key, a, lost, frame.At)
 		}
 	case isup.GRS:
 		for i := 0; i <= int(m.Range); i++ {
-			k.cic = m.CIC + uint16(i)
-			if a := j.circuits[k]; a != nil {
-				j.end(k, a, lost, f.At)
+			key.cic = m.CIC + uint16(i)
+			if a := e.circuits[key]; a != nil {
+				e.end(key, a, lost, frame.At)
 			}
 		}
-	case isup.CQR: // what the switch takes for idle has ended there, with its release lost
-		for i := 0; !f.In && i < len(m.Circuits); i++ {
-			k.cic = m.CIC + uint16(i)
-			if a := j.circuits[k]; a != nil && a.standing && m.Circuits[i]&isup.CircuitStateMask == isup.CircuitIdle {
-				j.end(k, a, lost, f.At)
+	case isup.CQR: // a call on a circuit that the switch reports as idle has ended there, its release was lost
+		for i := 0; !frame.In && i < len(m.Circuits); i++ {
+			key.cic = m.CIC + uint16(i)
+			if a := e.circuits[key]; a != nil && a.established && m.Circuits[i]&isup.CircuitStateMask == isup.CircuitIdle {
+				e.end(key, a, lost, frame.At)
 			}
 		}
 	case isup.CGB:
-		for i := 0; !f.In && m.Supervision == isup.Hardware && i <= int(m.Range); i++ {
-			k.cic = m.CIC + uint16(i)
+		for i := 0; !frame.In && m.Supervision == isup.Hardware && i <= int(m.Range); i++ {
+			key.cic = m.CIC + uint16(i)
 			if m.Status[i/8]>>(i%8)&1 == 0 {
 				continue
 			}
-			delete(j.transits, k)
-			if a := j.circuits[k]; a != nil {
-				j.end(k, a, lost, f.At)
+			delete(e.transits, key)
+			if a := e.circuits[key]; a != nil {
+				e.end(key, a, lost, frame.At)
 			}
 		}
 	}
 }
 
-// attempt judges an IAM.
-func (j *judge) attempt(at time.Duration, k circuitKey, m *isup.Message) {
-	j.report.Attempts++
-	r := ref{m.Ref.ID, m.Ref.PC}
-	if dest, ok := j.spec.Exchange(m.Called.String()); ok && dest != k.sw {
-		j.report.Tandem++
+// attempt checks an IAM that a controller sent to the switch of another exchange.
+func (e *evaluator) attempt(at time.Duration, circuit circuitKey, m *isup.Message) {
+	e.report.Attempts++
+	reference := callRef{m.Ref.ID, m.Ref.PC}
+	if dest, ok := e.spec.Exchange(m.Called.String()); ok && dest != circuit.sw {
+		e.report.Tandem++
 	}
-	if old := j.circuits[k]; old != nil {
-		j.end(k, old, lost, at)
+	if old := e.circuits[circuit]; old != nil {
+		e.end(circuit, old, lost, at)
 	}
-	ak := attemptKey{r, k.controller}
-	for _, p := range j.attempts[ak] {
+	attemptsKey := attemptKey{reference, circuit.controller}
+	for _, previous := range e.attempts[attemptsKey] {
 		switch {
-		case p.state == out:
-			j.broken(2, at, k.controller, r, "sent to %d while its attempt to %d of %v before is out", k.sw, p.sw, at-p.at)
-		case (p.state == released || p.state == lost) && at-p.end < j.spec.Guard-j.spec.Slack:
-			j.broken(5, at, k.controller, r, "sent to %d only %v after its attempt to %d on circuit %d was %v", k.sw, at-p.end, p.sw, p.cic, p.state)
-		case p.state == answered:
-			j.broken(1, at, k.controller, r, "sent to %d after it stood", k.sw)
+		case previous.state == outstanding:
+			e.violated(2, at, circuit.controller, reference, "sent to %d while its attempt to %d of %v before is out", circuit.sw, previous.sw, at-previous.at)
+		case (previous.state == released || previous.state == lost) && at-previous.end < e.spec.Guard-e.spec.Slack:
+			e.violated(5, at, circuit.controller, reference, "sent to %d only %v after its attempt to %d on circuit %d was %v", circuit.sw, at-previous.end, previous.sw, previous.cic, previous.state)
+		case previous.state == answered:
+			e.violated(1, at, circuit.controller, reference, "sent to %d after it stood", circuit.sw)
 		}
 	}
-	if c := j.byRef[r]; c != nil && c.controller == k.controller {
-		if c.answer != none && at > c.answerAt+j.spec.Slack {
-			j.broken(1, at, k.controller, r, "sent to %d %v after its final answer", k.sw, at-c.answerAt)
-		} else if c.left > 0 && at > c.left+j.spec.Slack+j.heldFor(k.controller, c.left, at) {
-			j.broken(1, at, k.controller, r, "sent to %d %v after its caller left", k.sw, at-c.left)
+	if c := e.byRef[reference]; c != nil && c.controller == circuit.controller {
+		if c.outcome != pending && at > c.outcomeAt+e.spec.Slack {
+			e.violated(1, at, circuit.controller, reference, "sent to %d %v after its final answer", circuit.sw, at-c.outcomeAt)
+		} else if c.clientReleasedAt > 0 && at > c.clientReleasedAt+e.spec.Slack+e.stalledFor(circuit.controller, c.clientReleasedAt, at) {
+			e.violated(1, at, circuit.controller, reference, "sent to %d %v after its caller left", circuit.sw, at-c.clientReleasedAt)
 		}
 	}
-	if t, known := j.told[k.wayKey]; known && at > t+j.spec.DrainGrace+j.spec.Slack {
-		j.broken(3, at, k.controller, r, "sent to %d %v after word that it drains or is gone", k.sw, at-t)
+	if since, known := e.unavailableSince[circuit.groupKey]; known && at > since+e.spec.DrainGrace+e.spec.Slack {
+		e.violated(3, at, circuit.controller, reference, "sent to %d %v after word that it drains or is gone", circuit.sw, at-since)
 	}
-	if c := j.cold[k.sw]; c != nil && at < c.at+j.spec.ColdStart.WarmUp && j.spec.ColdStart.Multiple > 0 {
-		c.recent = append(c.recent, at)
-		for at-c.recent[0] > j.spec.ColdStart.Span {
-			c.recent = c.recent[1:]
+	if c := e.coldSwitches[circuit.sw]; c != nil && at < c.at+e.spec.ColdStart.WarmUp && e.spec.ColdStart.Multiple > 0 {
+		c.recentSetUps = append(c.recentSetUps, at)
+		for at-c.recentSetUps[0] > e.spec.ColdStart.Span {
+			c.recentSetUps = c.recentSetUps[1:]
 		}
-		part := float64(at-c.at) / float64(j.spec.ColdStart.WarmUp)
-		limit := j.spec.ColdStart.Multiple * c.rate * (j.spec.ColdStart.Share + (1-j.spec.ColdStart.Share)*part) * j.spec.ColdStart.Span.Seconds()
-		if float64(len(c.recent)) > limit && !c.broken {
-			c.broken = true
-			j.broken(4, at, k.controller, r, "%d set-ups within %v reached switch %d, started %v before; %.0f can be", len(c.recent), j.spec.ColdStart.Span, k.sw, at-c.at, limit)
+		progress := float64(at-c.at) / float64(e.spec.ColdStart.WarmUp)
+		limit := e.spec.ColdStart.Multiple * c.warmRate * (e.spec.ColdStart.Share + (1-e.spec.ColdStart.Share)*progress) * e.spec.ColdStart.Span.Seconds()
+		if float64(len(c.recentSetUps)) > limit && !c.violated {
+			c.violated = true
+			e.violated(4, at, circuit.controller, reference, "%d set-ups within %v reached switch %d, started %v before; %.0f can be", len(c.recentSetUps), e.spec.ColdStart.Span, circuit.sw, at-c.at, limit)
 		}
 	}
-	if b := j.circuits[circuitKey{wayKey{k.sw, k.controller}, k.cic}]; b != nil && b.state == out {
-		j.report.Dual++
+	if peer := e.circuits[circuitKey{groupKey{circuit.sw, circuit.controller}, circuit.cic}]; peer != nil && peer.state == outstanding {
+		e.report.Dual++
 	}
-	a := &attempt{ref: r, controller: k.controller, sw: k.sw, cic: k.cic, at: at}
-	j.attempts[ak] = append(j.attempts[ak], a)
-	j.circuits[k] = a
+	a := &attempt{callRef: reference, controller: circuit.controller, sw: circuit.sw, cic: circuit.cic, at: at}
+	e.attempts[attemptsKey] = append(e.attempts[attemptsKey], a)
+	e.circuits[circuit] = a
 }
 
-// heldFor is how long a controller was stopped between two times, as it may have been when it could have learnt.
-func (j *judge) heldFor(controller uint32, from, to time.Duration) (d time.Duration) {
-	for _, h := range j.held[controller] {
-		if h.At <= to && h.At+h.Span >= from {
-			d += h.Span
+// stalledFor adds up the stalls of a controller that overlap the time between from and to.
+func (e *evaluator) stalledFor(controller uint32, from, to time.Duration) (total time.Duration) {
+	for _, stall := range e.stalls[controller] {
+		if stall.At <= to && stall.At+stall.Span >= from {
+			total += stall.Span
 		}
 	}
-	return d
+	return total
 }
 
-// own judges a frame between a controller and its own switch: seizures of the far ends, and calls in transit.
-func (j *judge) own(f *record.Frame, l *record.Link, d m3ua.ProtocolData, m *isup.Message) {
-	other := d.OPC
-	if f.In {
-		other = d.DPC
+// ownFrame checks a frame between a controller and its own switch: circuit seizures by other exchanges and transit calls.
+func (e *evaluator) ownFrame(frame *record.Frame, link *record.Link, data m3ua.ProtocolData, m *isup.Message) {
+	otherEnd := data.OPC
+	if frame.In {
+		otherEnd = data.DPC
 	}
-	k := circuitKey{wayKey{l.Controller, other}, m.CIC}
-	t := j.transits[k]
-	if !f.In {
+	key := circuitKey{groupKey{link.Controller, otherEnd}, m.CIC}
+	call := e.transits[key]
+	if !frame.In {
 		switch m.Type {
 		case isup.IAM:
-			if dest, ok := j.spec.Exchange(m.Called.String()); ok && dest != l.Controller {
-				j.transits[k] = &transit{ref: ref{m.Ref.ID, m.Ref.PC}, at: f.At, class: j.classOf(m.Category)}
+			if dest, ok := e.spec.Exchange(m.Called.String()); ok && dest != link.Controller {
+				e.transits[key] = &transit{callRef: callRef{m.Ref.ID, m.Ref.PC}, at: frame.At, class: e.classOf(m.Category)}
 			} else {
-				delete(j.transits, k)
+				delete(e.transits, key)
 			}
 		case isup.REL, isup.RLC, isup.RSC:
-			delete(j.transits, k)
+			delete(e.transits, key)
 		case isup.GRS:
 			for i := 0; i <= int(m.Range); i++ {
-				delete(j.transits, circuitKey{k.wayKey, m.CIC + uint16(i)})
+				delete(e.transits, circuitKey{key.groupKey, m.CIC + uint16(i)})
 			}
 		}
 		return
 	}
-	if t == nil {
+	if call == nil {
 		return
 	}
 	switch m.Type {
 	case isup.ACM, isup.CPG:
-		t.rang = true
+		call.alerted = true
 	case isup.ANM, isup.CON:
-		if t.answer != none {
-			j.broken(1, f.At, l.Controller, t.ref, "in transit: %v after a final answer", m.Type)
+		if call.outcome != pending {
+			e.violated(1, frame.At, link.Controller, call.callRef, "in transit: %v after a final answer", m.Type)
 		}
-		t.answer = stands
+		call.outcome = established
 	case isup.REL:
-		if t.answer == refused {
-			j.broken(1, f.At, l.Controller, t.ref, "in transit: REL after a final answer")
+		if call.outcome == refused {
+			e.violated(1, frame.At, link.Controller, call.callRef, "in transit: REL after a final answer")
 		}
-		t.answer = refused
+		call.outcome = refused
 	case isup.RSC:
-		delete(j.transits, k)
+		delete(e.transits, key)
 	}
 }
 
-// finish judges what is left at the end, and service.
-func (j *judge) finish() {
-	for _, c := range j.tries {
-		if c.answer == none && c.left == 0 && !c.lost && j.overdue(c, j.day.End) > j.spec.Slack && !j.excused(c, j.day.End) {
-			j.broken(1, j.day.End, c.controller, c.ref, "no final answer at all")
+// finish checks the calls that are still open at the end of the recording and computes service and percentiles.
+func (e *evaluator) finish() {
+	for _, call := range e.calls {
+		if call.outcome == pending && call.clientReleasedAt == 0 && !call.lost && e.overdueBy(call, e.recording.End) > e.spec.Slack && !e.excusedByStall(call, e.recording.End) {
+			e.violated(1, e.recording.End, call.controller, call.callRef, "no final answer at all")
 		}
 	}
-	for k, t := range j.transits {
-		limit := 2 * j.spec.Classes[t.class].Patience
-		if t.rang {
-			limit += j.spec.Classes[t.class].Ring
+	for k, inTransit := range e.transits {
+		limit := 2 * e.spec.Classes[inTransit.class].Patience
+		if inTransit.alerted {
+			limit += e.spec.Classes[inTransit.class].Ring
 		}
-		if t.answer == none && j.day.End-t.at > limit {
-			j.broken(1, j.day.End, k.controller, t.ref, "in transit: neither answered nor released")
+		if inTransit.outcome == pending && e.recording.End-inTransit.at > limit {
+			e.violated(1, e.recording.End, k.controller, inTransit.callRef, "in transit: neither answered nor released")
 		}
 	}
-	slices.SortStableFunc(j.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	j.service()
-	for _, x := range []struct {
-		of []time.Duration
-		to *[3]float64
-	}{{j.delays, &j.report.DelaysMS}, {j.answers, &j.report.AnswersMS}} {
-		if n := len(x.of); n > 0 {
-			slices.Sort(x.of)
+	slices.SortStableFunc(e.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	e.addService()
+	for _, percentiles := range []struct {
+		delays []time.Duration
+		result *[3]float64
+	}{{e.setUpDelays, &e.report.DelaysMS}, {e.answerDelays, &e.report.AnswersMS}} {
+		if n := len(percentiles.delays); n > 0 {
+			slices.Sort(percentiles.delays)
 			for i, at := range []int{n / 2, n * 99 / 100, n - 1} {
-				x.to[i] = x.of[at].Seconds() * 1000
+				percentiles.result[i] = percentiles.delays[at].Seconds() * 1000
 			}
 		}
 	}
 }
 
-// intent is what a caller wants: its first try and the further ones.
-type intent struct {
-	first *try
-	tries []*try
+// callIntent is a caller's wish for one connection (ITU-T E.600): the first call and its redials.
+type callIntent struct {
+	first *clientCall
+	calls []*clientCall
 }
 
-// service adds up worth. A caller's tries belong to its first.
-func (j *judge) service() {
-	byCaller := map[string]*intent{}
-	var order []*intent
-	for _, c := range j.tries {
-		in := byCaller[c.calling]
-		if in == nil || c.calling == "" {
-			in = &intent{first: c}
-			byCaller[c.calling] = in
-			order = append(order, in)
+// addService adds up worth per call intent. Calls with the same calling number belong to one intent.
+func (e *evaluator) addService() {
+	byCaller := map[string]*callIntent{}
+	var order []*callIntent
+	for _, call := range e.calls {
+		intent := byCaller[call.calling]
+		if intent == nil || call.calling == "" {
+			intent = &callIntent{first: call}
+			byCaller[call.calling] = intent
+			order = append(order, intent)
 		}
-		in.tries = append(in.tries, c)
+		intent.calls = append(intent.calls, call)
 	}
 	const window = 10 * time.Second
-	windows := make([]Service, int(j.day.End/window)+1)
-	worst := map[string]*Service{}
-	for _, in := range order {
-		cl := j.spec.Classes[in.first.class]
-		if j.nobody(in) { // no network could have had it answered
-			j.report.NoAnswer++
+	windows := make([]Service, int(e.recording.End/window)+1)
+	byClass := map[string]*Service{}
+	for _, intent := range order {
+		classSpec := e.spec.Classes[intent.first.class]
+		if e.unanswered(intent) { // no routing decision could have had it answered
+			e.report.NoAnswer++
 			continue
 		}
-		earned := cl.Worth * j.earned(in, cl, (*try).setUpAt)
-		j.report.Whole.add(cl.Worth, earned)
-		j.report.ToAnswer.add(cl.Worth, cl.Worth*j.earned(in, cl, func(c *try) time.Duration { return c.answerAt }))
-		windows[in.first.at/window].add(cl.Worth, earned)
-		s := worst[cl.Name]
-		if s == nil {
-			s = &Service{}
-			worst[cl.Name] = s
+		earned := classSpec.Worth * e.earned(intent, classSpec, (*clientCall).setUpAt)
+		e.report.Whole.add(classSpec.Worth, earned)
+		e.report.ToAnswer.add(classSpec.Worth, classSpec.Worth*e.earned(intent, classSpec, func(call *clientCall) time.Duration { return call.outcomeAt }))
+		windows[intent.first.at/window].add(classSpec.Worth, earned)
+		classService := byClass[classSpec.Name]
+		if classService == nil {
+			classService = &Service{}
+			byClass[classSpec.Name] = classService
 		}
-		s.add(cl.Worth, earned)
+		classService.add(classSpec.Worth, earned)
 	}
 	first := true
 	for i, w := range windows {
-		if w.Worth >= 0.25*j.report.Whole.Worth/float64(len(windows)) && (first || w.Share < j.report.WorstWindow.Share) {
+		if w.Worth >= 0.25*e.report.Whole.Worth/float64(len(windows)) && (first || w.Share < e.report.WorstWindow.Share) {
 			first = false
-			j.report.WorstWindow, j.report.WorstFrom = w, time.Duration(i)*window
+			e.report.WorstWindow, e.report.WorstFrom = w, time.Duration(i)*window
 		}
 	}
-	low := 2.0
-	for _, cl := range j.spec.Classes {
-		if s := worst[cl.Name]; s != nil {
-			j.report.Classes[cl.Name] = *s
-			if s.Share < low {
-				low, j.report.WorstClass = s.Share, cl.Name
+	lowest := 2.0
+	for _, classSpec := range e.spec.Classes {
+		if classService := byClass[classSpec.Name]; classService != nil {
+			e.report.Classes[classSpec.Name] = *classService
+			if classService.Share < lowest {
+				lowest, e.report.WorstClass = classService.Share, classSpec.Name
 			}
 		}
 	}
-	for _, m := range j.day.Events {
-		if m.Kind != record.Fault {
+	for _, event := range e.recording.Events {
+		if event.Kind != record.Fault {
 			continue
 		}
-		t := FaultService{Name: m.Name, From: m.At, Span: m.Span}
-		for _, in := range order {
-			if in.first.at >= m.At && in.first.at < m.At+m.Span && !j.nobody(in) {
-				cl := j.spec.Classes[in.first.class]
-				t.Service.add(cl.Worth, cl.Worth*j.earned(in, cl, (*try).setUpAt))
+		faultService := FaultService{Name: event.Name, From: event.At, Span: event.Span}
+		for _, intent := range order {
+			if intent.first.at >= event.At && intent.first.at < event.At+event.Span && !e.unanswered(intent) {
+				classSpec := e.spec.Classes[intent.first.class]
+				faultService.Service.add(classSpec.Worth, classSpec.Worth*e.earned(intent, classSpec, (*clientCall).setUpAt))
 			}
 		}
-		j.report.Faults = append(j.report.Faults, t)
+		e.report.Faults = append(e.report.Faults, faultService)
 	}
 }
 
-// nobody tells whether the number of an intent rang within the aim and was never answered: a far end released it with
-// cause 18 or 19, or it rang as long as its caller let it. A controller's word alone is no proof.
-func (j *judge) nobody(in *intent) bool {
-	last := in.tries[len(in.tries)-1]
-	cl := j.spec.Classes[last.class]
-	if last.rangAt == 0 || last.answer == stands || last.rangAt-last.at > cl.Aim {
+// unanswered tells whether the called number of an intent alerted within the aim and was never answered: a far end
+// released the call with cause 18 or 19, or it alerted for as long as its caller waits. Such a cause does not count if only
+// the controller reports it.
+func (e *evaluator) unanswered(intent *callIntent) bool {
+	last := intent.calls[len(intent.calls)-1]
+	classSpec := e.spec.Classes[last.class]
+	if last.alertedAt == 0 || last.outcome == established || last.alertedAt-last.at > classSpec.Aim {
 		return false
 	}
-	if last.answer == none && last.left > 0 {
-		return last.left-last.rangAt >= cl.Ring
+	if last.outcome == pending && last.clientReleasedAt > 0 {
+		return last.clientReleasedAt-last.alertedAt >= classSpec.Ring
 	}
-	if last.answer != refused || last.cause != isup.CauseNoAnswer && last.cause != isup.CauseNoUser {
+	if last.outcome != refused || last.cause != isup.CauseNoAnswer && last.cause != isup.CauseNoUser {
 		return false
 	}
-	if last.answerAt-last.rangAt >= cl.Ring-time.Second {
+	if last.outcomeAt-last.alertedAt >= classSpec.Ring-time.Second {
 		return true
 	}
-	for _, a := range j.attempts[attemptKey{last.ref, last.controller}] {
+	for _, a := range e.attempts[attemptKey{last.callRef, last.controller}] {
 		if a.state == returned && (a.cause == isup.CauseNoAnswer || a.cause == isup.CauseNoUser) {
 			return true
 		}
@@ -768,26 +771,27 @@
 	return false
 }
 
-// earned is the share of its worth that an intent earns: all if the set-up of a try that stood was complete (done) within
-// the aim of the first one, less if later, nothing if it was cut; a call that was cut and comes again must stand again within the aim of coming again.
-func (j *judge) earned(in *intent, cl Class, done func(*try) time.Duration) float64 {
-	from, cut := in.first.at, false
-	for _, c := range in.tries {
+// earned is the share of its worth that an intent earns. It is 1 if the set-up of an established call was complete
+// (completedAt) within the aim, counted from the first call, LateWorth if later but before GiveUp, and 0 if the call was
+// cut. After a cut, by a release or by the loss of the client's connection, the time counts from the redial.
+func (e *evaluator) earned(intent *callIntent, classSpec Class, completedAt func(*clientCall) time.Duration) float64 {
+	from, cut := intent.first.at, false
+	for _, call := range intent.calls {
 		if cut {
-			from, cut = c.at, false
+			from, cut = call.at, false
 		}
-		if c.answer != stands {
+		if call.outcome != established {
 			continue
 		}
-		if c.cut || c.lost && c.left == 0 {
+		if call.cut || call.lost && call.clientReleasedAt == 0 {
 			cut = true
 			continue
 		}
-		switch d := done(c) - from; {
-		case d <= cl.Aim:
+		switch delay := completedAt(call) - from; {
+		case delay <= classSpec.Aim:
 			return 1
-		case d <= cl.GiveUp:
-			return cl.LateWorth
+		case delay <= classSpec.GiveUp:
+			return classSpec.LateWorth
 		}
 	}
 	return 0
--- a/check/trace.go
+++ b/check/trace.go
@@ -10,42 +10,42 @@
 	"github.com/umbergauge/umbergauge/record"
 )
 
-// Trace writes the recorded frames that keep, one a line, for people who look for a cause. m is only good for one call;
-// its ISUP part is nil for management messages.
-func Trace(w io.Writer, day record.Recording, keep func(l record.Link, m *m3ua.Message, u *isup.Message) bool) {
-	var m m3ua.Message
-	var u isup.Message
-	for _, f := range day.Frames {
-		if m3ua.Decode(f.Data, &m) != nil {
+// Trace writes the recorded frames for which keep returns true, one a line, for troubleshooting. m and u are only valid
+// during the call of keep; u is nil for frames without an ISUP message.
+func Trace(w io.Writer, recording record.Recording, keep func(link record.Link, message *m3ua.Message, user *isup.Message) bool) {
+	var message m3ua.Message
+	var user isup.Message
+	for _, f := range recording.Frames {
+		if m3ua.Decode(f.Data, &message) != nil {
 			continue
 		}
-		l := day.Links[f.Link]
-		what := &u
-		if m.Kind != m3ua.DATA || isup.Decode(m.Data.User, &u) != nil {
-			what = nil
+		link := recording.Links[f.Link]
+		part := &user
+		if message.Kind != m3ua.DATA || isup.Decode(message.Data.User, &user) != nil {
+			part = nil
 		}
-		if !keep(l, &m, what) {
+		if !keep(link, &message, part) {
 			continue
 		}
-		side, arrow := fmt.Sprintf("switch %d", l.Switch), "<-"
-		if l.Kind == record.ClientLink {
+		side, arrow := fmt.Sprintf("switch %d", link.Switch), "<-"
+		if link.Kind == record.ClientLink {
 			side = "client"
 		}
 		if f.In {
 			arrow = "->"
 		}
-		text := fmt.Sprint(m.Kind, m.Affected)
-		if what != nil {
-			text = fmt.Sprintf("%d>%d circuit %d %v", m.Data.OPC, m.Data.DPC, u.CIC, u.Type)
-			switch u.Type {
+		text := fmt.Sprint(message.Kind, message.Affected)
+		if part != nil {
+			text = fmt.Sprintf("%d>%d circuit %d %v", message.Data.OPC, message.Data.DPC, user.CIC, user.Type)
+			switch user.Type {
 			case isup.IAM:
-				text += fmt.Sprintf(" to %v, call %d.%d", u.Called, u.Ref.PC, u.Ref.ID)
+				text += fmt.Sprintf(" to %v, call %d.%d", user.Called, user.Ref.PC, user.Ref.ID)
 			case isup.REL:
-				text += fmt.Sprintf(" cause %d at %d", u.Cause, u.Location)
+				text += fmt.Sprintf(" cause %d at %d", user.Cause, user.Location)
 			case isup.CQR:
-				text += fmt.Sprintf(" %x", u.Circuits)
+				text += fmt.Sprintf(" %x", user.Circuits)
 			}
 		}
-		fmt.Fprintf(w, "%10.3f link %-4d controller %d %s %-12s %s\n", float64(f.At)/float64(time.Second), f.Link, l.Controller, arrow, side, text)
+		fmt.Fprintf(w, "%10.3f link %-4d controller %d %s %-12s %s\n", float64(f.At)/float64(time.Second), f.Link, link.Controller, arrow, side, text)
 	}
 }
