--- a/bench/bench.go
+++ b/bench/bench.go
@@ -383,7 +383,7 @@
 	c.next++
 	called, _ := isup.ParseNumber(4, fmt.Sprintf("%04d%06d", firstFar+int(cic)%(c.r.o.Exchanges-1), c.next%1000000))
 	calling, _ := isup.ParseNumber(4, "82105550000")
-	c.iam = isup.Message{Type: isup.IAM, Category: isup.CategoryOrdinary, Medium: 3, Called: called, HasCalling: true, Calling: calling,
+	c.iam = isup.Message{Type: isup.IAM, Category: isup.CategoryOrdinary, TransmissionMedium: 3, Called: called, HasCalling: true, Calling: calling,
 		HasRef: true, Ref: isup.CallReference{ID: c.next & 0xffff, PC: clientPC}}
 	c.r.sent[c.next&0xffff].Store(time.Since(c.r.start).Microseconds())
 	c.data(cic, &c.iam)
--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -16,7 +16,7 @@
 func frame(i int) []byte {
 	n, _ := isup.ParseNumber(4, "820112345")
 	return m3ua.Append(nil, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: 101, DPC: 102, SI: 5, NI: 2,
-		User: isup.Append(nil, &isup.Message{Type: isup.IAM, CIC: uint16(i), Category: isup.CategoryOrdinary, Medium: 3, Called: n})}})
+		User: isup.Append(nil, &isup.Message{Type: isup.IAM, CIC: uint16(i), Category: isup.CategoryOrdinary, TransmissionMedium: 3, Called: n})}})
 }
 
 // write puts frames on a connection of 127.0.0.1, alternating directions, and returns the writer.
--- a/check/check.go
+++ b/check/check.go
@@ -754,14 +754,14 @@
 	if last.answer == none && last.left > 0 {
 		return last.left-last.rangAt >= cl.Ring
 	}
-	if last.answer != refused || last.cause != isup.CauseNoAnswer && last.cause != isup.CauseNoUser {
+	if last.answer != refused || last.cause != isup.CauseNoAnswer && last.cause != isup.CauseNoUserResponding {
 		return false
 	}
 	if last.answerAt-last.rangAt >= cl.Ring-time.Second {
 		return true
 	}
 	for _, a := range j.attempts[attemptKey{last.ref, last.controller}] {
-		if a.state == returned && (a.cause == isup.CauseNoAnswer || a.cause == isup.CauseNoUser) {
+		if a.state == returned && (a.cause == isup.CauseNoAnswer || a.cause == isup.CauseNoUserResponding) {
 			return true
 		}
 	}
--- a/controller/calls.go
+++ b/controller/calls.go
@@ -91,7 +91,7 @@
 func (c *Core) releaseClientCircuit(circuit *clientCircuit, cause isup.Cause, location isup.Location) {
 	circuit.cause = cause
 	circuit.timer = c.wheel.Set(c.now+c.cfg.ClientT1, timerEvent{kind: timerClientRelease, clientCircuit: circuit})
-	c.sendToClient(circuit, &isup.Message{Type: isup.REL, Cause: cause, Location: location, Congestion: circuit.congestion})
+	c.sendToClient(circuit, &isup.Message{Type: isup.REL, Cause: cause, Location: location, CongestionLevel: circuit.congestion})
 }
 
 // maxReleaseRetransmissions bounds the retransmissions of REL; after them the client's own T5 or a reset clears the circuit.
@@ -127,7 +127,7 @@
 func (c *Core) newCall(message *isup.Message, transit bool, hookSet *hooks.Set) (*openCall, isup.Cause) {
 	switch isup.CheckUnknown(message, transit) {
 	case isup.Discard, isup.ReleaseCall:
-		return nil, isup.CauseUnknownPar
+		return nil, isup.CauseUnknownParameter
 	}
 	destination, cause := c.lookUpDestination(message.Called)
 	switch {
@@ -163,8 +163,8 @@
 	if !message.HasHops {
 		call.iam.Hops = c.cfg.Hops
 	}
-	if message.HasDelay {
-		call.earlierDelay = time.Duration(message.Delay) * time.Millisecond
+	if message.HasPropagationDelay {
+		call.earlierDelay = time.Duration(message.PropagationDelay) * time.Millisecond
 	}
 	return call, 0
 }
@@ -182,7 +182,7 @@
 	}
 	level, changed := c.limits.Level(assoc.limits, c.now)
 	if changed {
-		c.frameBuffer = m3ua.Append(c.frameBuffer[:0], &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: c.cfg.PointCode}}, Congestion: byte(level)})
+		c.frameBuffer = m3ua.Append(c.frameBuffer[:0], &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: c.cfg.PointCode}}, CongestionLevel: byte(level)})
 		c.port.Send(assoc.id, c.frameBuffer)
 	}
 	if decision == admission.Admitted {
@@ -301,9 +301,9 @@
 			c.runGroupActions(far)
 			break
 		}
-		back := isup.Message{Type: isup.ACM, Backward: message.Backward}
+		back := isup.Message{Type: isup.ACM, BackwardIndicators: message.BackwardIndicators}
 		if call.progressSent { // only one ACM per call, however many attempts it takes
-			back = isup.Message{Type: isup.CPG, Event: 2}
+			back = isup.Message{Type: isup.CPG, EventInformation: 2}
 		}
 		call.progressSent = true
 		c.sendBackward(call, &back)
@@ -321,7 +321,7 @@
 		c.waiting--
 		c.Counters.Established++
 		far.group.Answered(message.CIC)
-		back := isup.Message{Type: isup.CON, Backward: message.Backward}
+		back := isup.Message{Type: isup.CON, BackwardIndicators: message.BackwardIndicators}
 		if call.progressSent {
 			back.Type = isup.ANM
 		}
--- a/controller/causes.go
+++ b/controller/causes.go
@@ -12,9 +12,9 @@
 	switch cause {
 	case isup.CauseUserBusy:
 		return policy.Failed, policy.NumberBusy
-	case isup.CauseNoUser, isup.CauseNoAnswer:
+	case isup.CauseNoUserResponding, isup.CauseNoAnswer:
 		return policy.Failed, policy.NoAnswer
-	case isup.CauseNoCircuit, isup.CauseNotAvailable, 47: // 47: resource unavailable, unspecified
+	case isup.CauseNoCircuit, isup.CauseCircuitNotAvailable, 47: // 47: resource unavailable, unspecified
 		if direct {
 			return policy.NotSetUp, policy.NoCircuit
 		}
@@ -24,7 +24,7 @@
 			return policy.NotSetUp, policy.CrankbackFull
 		}
 		return policy.NotSetUp, policy.ProcessorFull
-	case isup.CauseOutOfOrder, isup.CauseNetworkDown, isup.CauseNoRoute:
+	case isup.CauseDestinationOutOfOrder, isup.CauseNetworkOutOfOrder, isup.CauseNoRoute:
 		if direct {
 			return policy.NotSetUp, policy.NoReason
 		}
@@ -40,9 +40,9 @@
 		if reason == policy.NoAnswer {
 			return isup.CauseNoAnswer
 		}
-		return isup.CauseTimer
+		return isup.CauseTimerExpiry
 	case policy.NoContact:
-		return isup.CauseOutOfOrder
+		return isup.CauseDestinationOutOfOrder
 	case policy.Reset:
 		return isup.CauseTemporary
 	case policy.NotSent:
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -535,7 +535,7 @@
 					break
 				}
 				c.Counters.TimedOut++
-				c.releaseOutgoing(call, isup.CauseTimer)
+				c.releaseOutgoing(call, isup.CauseTimerExpiry)
 				c.endAttempt(call, policy.TimedOut, policy.NoReason, false)
 			}
 		case timerTrunk:
@@ -813,7 +813,7 @@
 // encodeData encodes an ISUP message in a DATA frame; the frame is valid until the next call.
 func (c *Core) encodeData(dpc uint32, message *isup.Message) []byte {
 	c.userBuffer = isup.Append(c.userBuffer[:0], message)
-	c.frameBuffer = m3ua.Append(c.frameBuffer[:0], &m3ua.Message{Kind: m3ua.DATA, HasContext: true, Context: c.cfg.PointCode,
+	c.frameBuffer = m3ua.Append(c.frameBuffer[:0], &m3ua.Message{Kind: m3ua.DATA, HasRoutingContext: true, RoutingContext: c.cfg.PointCode,
 		Data: m3ua.ProtocolData{OPC: c.cfg.PointCode, DPC: dpc, SI: m3ua.ServiceISUP, NI: c.cfg.Network,
 			SLS: byte(message.CIC & 15), User: c.userBuffer}})
 	return c.frameBuffer
@@ -905,7 +905,7 @@
 		circuit := &clientCircuit{association: assoc, opc: message.Data.OPC, cic: c.decoded.CIC}
 		if assoc.circuits[circuit.key()] == nil {
 			assoc.circuits[circuit.key()] = circuit
-			c.releaseClientCircuit(circuit, isup.CauseProtocol, isup.LocationNetwork)
+			c.releaseClientCircuit(circuit, isup.CauseProtocolError, isup.LocationNetwork)
 		}
 	}
 }
@@ -915,7 +915,7 @@
 	var entries []policy.Entry
 	for _, affected := range message.Affected {
 		if message.Kind == m3ua.SCON && assoc.peer.Kind == OwnSwitch && affected.PC == c.cfg.PointCode { // congestion of the own switch, which is on the path of every call
-			c.ownReduction = float64(message.Congestion) / 3
+			c.ownReduction = float64(message.CongestionLevel) / 3
 		}
 		for _, far := range c.farExchanges {
 			if affected.Mask > 24 || far.PointCode>>affected.Mask != affected.PC>>affected.Mask {
@@ -927,7 +927,7 @@
 			}
 			if message.Kind == m3ua.SCON {
 				report := far.groupReport()
-				report.Reduction = float64(message.Congestion) / 3
+				report.Reduction = float64(message.CongestionLevel) / 3
 				c.dispatch(policy.Status{Exchange: far.Address, OK: true, Report: report})
 				continue
 			}
@@ -1060,7 +1060,7 @@
 	outgoing := call.iam
 	outgoing.CIC = cic
 	outgoing.HasHops, outgoing.Hops = true, call.iam.Hops-1
-	outgoing.HasDelay, outgoing.Delay = true, uint16(min(call.earlierDelay+c.now-call.arrivedAt, math.MaxUint16*time.Millisecond)/time.Millisecond)
+	outgoing.HasPropagationDelay, outgoing.PropagationDelay = true, uint16(min(call.earlierDelay+c.now-call.arrivedAt, math.MaxUint16*time.Millisecond)/time.Millisecond)
 	if !c.sendToFar(far, &outgoing) {
 		far.group.Unseize(cic)
 		endUnsent(policy.NotSent, policy.NoReason)
@@ -1085,7 +1085,7 @@
 		}
 	}
 	if call.outExchange != nil && call.hookWait != hookWaitAttemptEnd { // only possible if the policy engine has lost track of the attempt
-		c.releaseOutgoing(call, isup.CauseTimer)
+		c.releaseOutgoing(call, isup.CauseTimerExpiry)
 		c.wheel.Stop(call.attemptTimer)
 	}
 	c.releaseTowardsCaller(call, cause, location)
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -236,7 +236,7 @@
 	r.offerCall(1, "2001")
 	cic := r.expectOne(far2, isup.IAM).CIC
 	r.advance(1501 * ms)
-	if m := r.expectOne(far2, isup.REL); m.Cause != isup.CauseTimer {
+	if m := r.expectOne(far2, isup.REL); m.Cause != isup.CauseTimerExpiry {
 		t.Errorf("attempt released with cause %d", m.Cause)
 	}
 	r.expectOne(clientAssoc, isup.REL)
@@ -434,10 +434,10 @@
 func TestTransitCallIsForwardedAndReleased(t *testing.T) {
 	r := newRig(t, 10)
 	m := iam(9, "3001")
-	m.HasHops, m.Hops, m.HasDelay, m.Delay = true, 4, true, 100
+	m.HasHops, m.Hops, m.HasPropagationDelay, m.PropagationDelay = true, 4, true, 100
 	r.receive(ownAssoc, 2, m)
 	outgoing := r.expectOne(far3, isup.IAM)
-	if outgoing.Hops != 3 || outgoing.Delay != 100 || outgoing.Ref != m.Ref {
+	if outgoing.Hops != 3 || outgoing.PropagationDelay != 100 || outgoing.Ref != m.Ref {
 		t.Errorf("%+v", outgoing)
 	}
 	r.receive(far3, 3, isup.Message{Type: isup.CON, CIC: outgoing.CIC})
@@ -594,7 +594,7 @@
 	r.expectOne(clientAssoc, isup.GRA)
 	r.expectOne(far2, isup.REL)
 	r.c.Handle(r.now, clientAssoc, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: 900, SI: 5, User: []byte{7, 0, 1, 0, 0, 0, 10, 3, 9, 9}}})
-	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseProtocol || m.CIC != 7 {
+	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseProtocolError || m.CIC != 7 {
 		t.Errorf("malformed IAM: %+v", m)
 	}
 	r.c.Handle(r.now, clientAssoc, &m3ua.Message{Kind: m3ua.DUNA, Affected: []m3ua.Affected{{PC: 2}}})
@@ -649,7 +649,7 @@
 		}
 		return policy.Status{}
 	}
-	r.c.Handle(r.now, ownAssoc, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 2}}, Congestion: 3})
+	r.c.Handle(r.now, ownAssoc, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 2}}, CongestionLevel: 3})
 	if s := last(); s.Exchange != "h2" || s.Report.Reduction != 1 || s.Report.Free != 10 {
 		t.Errorf("%+v", s)
 	}
@@ -827,11 +827,11 @@
 		t.Fatalf("%v", describe(kept))
 	}
 	for _, m := range kept {
-		if m.Type != isup.REL || m.Cause != isup.CauseCongestion || m.Congestion == 0 {
+		if m.Type != isup.REL || m.Cause != isup.CauseCongestion || m.CongestionLevel == 0 {
 			t.Errorf("%+v", m)
 		}
 	}
-	if n := len(r.management[clientAssoc]); n < 1 || n > 3 || r.management[clientAssoc][n-1].Kind != m3ua.SCON || r.management[clientAssoc][n-1].Congestion == 0 {
+	if n := len(r.management[clientAssoc]); n < 1 || n > 3 || r.management[clientAssoc][n-1].Kind != m3ua.SCON || r.management[clientAssoc][n-1].CongestionLevel == 0 {
 		t.Errorf("%+v", r.management[clientAssoc])
 	}
 	other := AssocID(110)
--- a/controller/ringing_test.go
+++ b/controller/ringing_test.go
@@ -80,9 +80,9 @@
 	r := newRingingRig(t)
 	r.offerCall(1, "2001")
 	cic := r.expectOne(far2, isup.IAM).CIC
-	r.receive(far2, 2, isup.Message{Type: isup.CPG, CIC: cic, Event: 1})
+	r.receive(far2, 2, isup.Message{Type: isup.CPG, CIC: cic, EventInformation: 1})
 	r.expectOne(clientAssoc, isup.ACM)
-	r.receive(far2, 2, isup.Message{Type: isup.CPG, CIC: cic, Event: 2})
+	r.receive(far2, 2, isup.Message{Type: isup.CPG, CIC: cic, EventInformation: 2})
 	r.expectOne(clientAssoc, isup.CPG)
 	if r.c.Ringing() != 1 || r.view(2).SlotsHeld != 0 {
 		t.Errorf("%d ringing, %+v", r.c.Ringing(), r.view(2))
@@ -244,7 +244,7 @@
 	if v := r.view(1); v.Load < 0.9 {
 		t.Errorf("own load %.2f with an event-queue delay of 0.8 s", v.Load)
 	}
-	r.c.Handle(r.now, ownAssoc, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 1}}, Congestion: 3})
+	r.c.Handle(r.now, ownAssoc, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 1}}, CongestionLevel: 3})
 	r.advance(2 * sec)
 	if v := r.view(1); v.Load < 0.99 {
 		t.Errorf("own load %.2f with the own switch at congestion level 3", v.Load)
--- a/controller/servers.go
+++ b/controller/servers.go
@@ -26,7 +26,7 @@
 	assoc.appServer, assoc.circuits, assoc.limits, assoc.peer.Tenant = server, server.firstAssoc.circuits, server.firstAssoc.limits, server.firstAssoc.peer.Tenant
 	c.assocs[assoc.id] = assoc
 	c.wheel.Stop(server.timer)
-	queued, replaced := server.as.Up(uint32(assoc.id))
+	queued, replaced := server.as.Activate(uint32(assoc.id))
 	for _, frame := range queued {
 		if !c.send(assoc.id, frame) {
 			c.port.Close(assoc.id, "send queue full")
@@ -46,11 +46,11 @@
 	if !server.as.Active(uint32(assoc.id)) {
 		return
 	}
-	server.as.Down(c.now, uint32(assoc.id))
+	server.as.Deactivate(c.now, uint32(assoc.id))
 	if server.as.State() == m3ua.ASPending {
 		c.Counters.Pending++
 		c.wheel.Stop(server.timer)
-		server.timer = c.wheel.Set(server.as.Until(), timerEvent{kind: timerRecovery, as: server})
+		server.timer = c.wheel.Set(server.as.RecoveryEnd(), timerEvent{kind: timerRecovery, as: server})
 	}
 	for unsent := c.port.Unsent(assoc.id); len(unsent) >= m3ua.HeaderLen; {
 		length, err := m3ua.Length(unsent)
@@ -105,7 +105,7 @@
 			// handled here.
 			if server.as.State() == m3ua.ASPending {
 				c.wheel.Stop(server.timer)
-				server.as.GiveUp(c.now)
+				server.as.EndRecovery(c.now)
 				server.timer = c.wheel.Set(c.now, timerEvent{kind: timerRecovery, as: server})
 			}
 			return 0
--- a/daemon/link.go
+++ b/daemon/link.go
@@ -141,7 +141,7 @@
 		user := m3ua.Kind(frame[2])<<8|m3ua.Kind(frame[3]) == m3ua.DATA
 		now := l.d.now()
 		l.mu.Lock()
-		l.asp.Heard(now)
+		l.asp.Received(now)
 		active := l.asp.State() == m3ua.Active
 		l.mu.Unlock()
 		if user && active {
@@ -171,7 +171,7 @@
 				if !pass(event{kind: evUp, link: l}) {
 					return
 				}
-			case m3ua.Deactivated, m3ua.Broken:
+			case m3ua.Deactivated, m3ua.Failed:
 				// Traffic ends; a peer that wants it again connects anew, so that nothing old is mixed in.
 				l.close("the peer has taken the association down")
 				return
@@ -223,8 +223,8 @@
 			return
 		}
 		broken := false
-		if !ending && now >= l.asp.Next() {
-			broken = l.asp.Tick(now) == m3ua.Broken
+		if !ending && now >= l.asp.NextDeadline() {
+			broken = l.asp.Tick(now) == m3ua.Failed
 		}
 		switch {
 		case len(l.asp.Out) == 0:
@@ -234,7 +234,7 @@
 			buf = slices.Insert(buf, 0, l.asp.Out...)
 		}
 		l.asp.Out = l.asp.Out[:0]
-		next := l.asp.Next()
+		next := l.asp.NextDeadline()
 		l.mu.Unlock()
 		if len(buf) > 0 {
 			l.captured(buf)
--- a/emulator/client.go
+++ b/emulator/client.go
@@ -191,7 +191,7 @@
 		}
 		switch m.Kind {
 		case m3ua.ASPUPAck:
-			w.sendMessage(&m3ua.Message{Kind: m3ua.ASPAC, Traffic: m3ua.TrafficLoadshare})
+			w.sendMessage(&m3ua.Message{Kind: m3ua.ASPAC, TrafficMode: m3ua.TrafficLoadshare})
 		case m3ua.ASPACAck:
 			w.opened(c.net.Log.Open(record.ClientLink, c.cfg.Controller, 0))
 			c.do(func() { c.wire = w })
@@ -270,7 +270,7 @@
 	k := &clCall{Call: call, cic: cic}
 	c.calls[cic] = k
 	c.Counts.Tries++
-	c.send(&isup.Message{Type: isup.IAM, CIC: cic, Category: call.Category, Medium: 3, Forward: 0x2060, Called: called, HasCalling: true, Calling: calling,
+	c.send(&isup.Message{Type: isup.IAM, CIC: cic, Category: call.Category, TransmissionMedium: 3, ForwardIndicators: 0x2060, Called: called, HasCalling: true, Calling: calling,
 		HasRef: true, Ref: isup.CallReference{ID: c.nextRef, PC: uint16(c.cfg.PC)}})
 	k.timer = time.AfterFunc(call.Patience, func() {
 		c.do(func() {
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -169,7 +169,7 @@
 
 // data sends an ISUP message.
 func (w *wire) data(opc, dpc uint32, m *isup.Message) {
-	w.sendMessage(&m3ua.Message{Kind: m3ua.DATA, HasContext: true, Context: dpc,
+	w.sendMessage(&m3ua.Message{Kind: m3ua.DATA, HasRoutingContext: true, RoutingContext: dpc,
 		Data: m3ua.ProtocolData{OPC: opc, DPC: dpc, SI: m3ua.ServiceISUP, NI: 2, SLS: byte(m.CIC & 15), User: isup.Append(nil, m)}})
 }
 
--- a/emulator/switch.go
+++ b/emulator/switch.go
@@ -413,7 +413,7 @@
 				kind = record.OwnLink
 			}
 			w.opened(s.net.Log.Open(kind, pc, s.cfg.PC))
-			w.sendMessage(&m3ua.Message{Kind: m3ua.ASPACAck, Traffic: m.Traffic, HasContext: true, Context: m.Context})
+			w.sendMessage(&m3ua.Message{Kind: m3ua.ASPACAck, TrafficMode: m.TrafficMode, HasRoutingContext: true, RoutingContext: m.RoutingContext})
 			s.do(func() { s.joined(pc, w) })
 		case m3ua.BEAT:
 			w.sendMessage(&m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: m.Heartbeat})
@@ -576,7 +576,7 @@
 // iam takes a new set-up.
 func (s *Switch) iam(key circuitKey, m *isup.Message) {
 	if int(key.cic) > s.cfg.Circuits[key.far] || key.cic == 0 || slices.Contains(s.lost[key.far], key.cic) {
-		s.toFar(key.far, &isup.Message{Type: isup.REL, CIC: key.cic, Cause: isup.CauseNotAvailable, Location: isup.LocationNetwork})
+		s.toFar(key.far, &isup.Message{Type: isup.REL, CIC: key.cic, Cause: isup.CauseCircuitNotAvailable, Location: isup.LocationNetwork})
 		return
 	}
 	if old := s.calls[key]; old != nil && old.state != swReleasing {
@@ -619,7 +619,7 @@
 		return // silent: it waits for its caller's REL
 	}
 	if s.cfg.EarlyACM && !c.transit {
-		s.toFar(key.far, &isup.Message{Type: isup.ACM, CIC: key.cic, Backward: 0x0416})
+		s.toFar(key.far, &isup.Message{Type: isup.ACM, CIC: key.cic, BackwardIndicators: 0x0416})
 	}
 	s.proc.add(job{work: s.work(1) * time.Duration(85+s.rng.IntN(31)) / 100, setUp: true,
 		extra: func(waited time.Duration) time.Duration {
@@ -660,7 +660,7 @@
 	c.state = swRinging
 	if c.transit {
 		if s.own == nil {
-			s.releaseAt(c, isup.CauseOutOfOrder, isup.LocationTransit)
+			s.releaseAt(c, isup.CauseDestinationOutOfOrder, isup.LocationTransit)
 			return
 		}
 		s.toOwn(c.key.far, &c.iam)
@@ -686,7 +686,7 @@
 	c.line = number
 	s.lines[number]++
 	if !s.cfg.EarlyACM {
-		s.toFar(c.key.far, &isup.Message{Type: isup.ACM, CIC: c.key.cic, Backward: 0x0416})
+		s.toFar(c.key.far, &isup.Message{Type: isup.ACM, CIC: c.key.cic, BackwardIndicators: 0x0416})
 	}
 	if who.silent {
 		return
--- a/isup/compat.go
+++ b/isup/compat.go
@@ -12,11 +12,11 @@
 
 // Bits of an instruction indicator (Q.763, 3.40 and 3.41).
 const (
-	insTransit   = 0x01 // interpreted by end exchanges only
-	insRelease   = 0x02
-	insNotify    = 0x04
-	insDiscard   = 0x08 // the message
-	insParameter = 0x10 // the parameter
+	instructionEndNodeOnly      = 0x01 // interpreted by end exchanges only
+	instructionReleaseCall      = 0x02
+	instructionSendNotification = 0x04
+	instructionDiscardMessage   = 0x08 // the message
+	instructionDiscardParameter = 0x10 // the parameter
 )
 
 // CheckUnknown acts on the optional parameters that this package does not interpret as their compatibility information says:
@@ -27,40 +27,40 @@
 	if len(m.Compat) == 0 || len(m.Optional) == 0 {
 		return Accept
 	}
-	kept, verdict := m.Optional[:0], Accept
-	for _, o := range m.Optional {
-		ins, found := instruction(m.Compat, o.Code)
-		if !found || transit && ins&insTransit != 0 {
-			kept = append(kept, o)
+	remaining, action := m.Optional[:0], Accept
+	for _, parameter := range m.Optional {
+		indicators, found := findInstruction(m.Compat, parameter.Code)
+		if !found || transit && indicators&instructionEndNodeOnly != 0 {
+			remaining = append(remaining, parameter)
 			continue
 		}
 		switch {
-		case ins&insRelease != 0:
-			verdict = ReleaseCall
-		case ins&insDiscard != 0:
-			verdict = max(verdict, Discard)
+		case indicators&instructionReleaseCall != 0:
+			action = ReleaseCall
+		case indicators&instructionDiscardMessage != 0:
+			action = max(action, Discard)
 		}
-		if ins&insParameter == 0 {
-			kept = append(kept, o)
+		if indicators&instructionDiscardParameter == 0 {
+			remaining = append(remaining, parameter)
 		}
 	}
-	m.Optional = kept
-	return verdict
+	m.Optional = remaining
+	return action
 }
 
 // instruction finds the instruction indicators of a parameter: a list of pairs, each with octets until one has its
 // extension bit set (Q.763, 3.41).
-func instruction(compat []byte, code byte) (byte, bool) {
+func findInstruction(compat []byte, code byte) (byte, bool) {
 	for i := 0; i+1 < len(compat); {
 		upgraded := compat[i]
-		first := compat[i+1]
+		indicators := compat[i+1]
 		i++
 		for i < len(compat) && compat[i]&0x80 == 0 {
 			i++
 		}
 		i++
 		if upgraded == code {
-			return first, true
+			return indicators, true
 		}
 	}
 	return 0, false
--- a/isup/isup.go
+++ b/isup/isup.go
@@ -47,14 +47,14 @@
 
 // Parameter codes (Q.763, table 5).
 const (
-	parCallReference = 0x01
-	parCallingNumber = 0x0a
-	parCause         = 0x12
-	parCongestion    = 0x27
-	parPropagation   = 0x31
-	parMessageCompat = 0x38
-	parCompat        = 0x39
-	parHopCounter    = 0x3d
+	paramCallReference           = 0x01
+	paramCallingPartyNumber      = 0x0a
+	paramCauseIndicators         = 0x12
+	paramCongestionLevel         = 0x27
+	paramPropagationDelayCounter = 0x31
+	paramMessageCompatibility    = 0x38
+	paramParameterCompatibility  = 0x39
+	paramHopCounter              = 0x3d
 )
 
 // MaxCIC is the highest circuit identification code (12 bits; Q.763, 1.2).
@@ -79,24 +79,24 @@
 
 // The cause values in use.
 const (
-	CauseUnallocated   Cause = 1
-	CauseNoRoute       Cause = 3
-	CauseNormal        Cause = 16
-	CauseUserBusy      Cause = 17
-	CauseNoUser        Cause = 18
-	CauseNoAnswer      Cause = 19
-	CauseRejected      Cause = 21
-	CauseOutOfOrder    Cause = 27
-	CauseInvalidNumber Cause = 28
-	CauseUnspecified   Cause = 31
-	CauseNoCircuit     Cause = 34
-	CauseNetworkDown   Cause = 38
-	CauseTemporary     Cause = 41
-	CauseCongestion    Cause = 42
-	CauseNotAvailable  Cause = 44
-	CauseUnknownPar    Cause = 99
-	CauseTimer         Cause = 102
-	CauseProtocol      Cause = 111
+	CauseUnallocated           Cause = 1
+	CauseNoRoute               Cause = 3
+	CauseNormal                Cause = 16
+	CauseUserBusy              Cause = 17
+	CauseNoUserResponding      Cause = 18
+	CauseNoAnswer              Cause = 19
+	CauseRejected              Cause = 21
+	CauseDestinationOutOfOrder Cause = 27
+	CauseInvalidNumber         Cause = 28
+	CauseNormalUnspecified     Cause = 31
+	CauseNoCircuit             Cause = 34
+	CauseNetworkOutOfOrder     Cause = 38
+	CauseTemporary             Cause = 41
+	CauseCongestion            Cause = 42
+	CauseCircuitNotAvailable   Cause = 44
+	CauseUnknownParameter      Cause = 99
+	CauseTimerExpiry           Cause = 102
+	CauseProtocolError         Cause = 111
 )
 
 // Location tells who released (Q.850, 2.2.3).
@@ -137,24 +137,24 @@
 
 // ParseNumber reads digits: 0 to 9 and the signals ST (f), code 11 (b) and code 12 (c). Others are an error.
 func ParseNumber(nature byte, digits string) (Number, error) {
-	num := Number{Nature: nature}
-	if len(digits) > 2*len(num.bcd) {
-		return num, fmt.Errorf("isup: a number of %d digits", len(digits))
+	number := Number{Nature: nature}
+	if len(digits) > 2*len(number.bcd) {
+		return number, fmt.Errorf("isup: a number of %d digits", len(digits))
 	}
 	for i := range len(digits) {
-		var d byte
-		switch c := digits[i]; {
-		case c >= '0' && c <= '9':
-			d = c - '0'
-		case c == 'b' || c == 'c' || c == 'f':
-			d = c - 'a' + 10
+		var value byte
+		switch digit := digits[i]; {
+		case digit >= '0' && digit <= '9':
+			value = digit - '0'
+		case digit == 'b' || digit == 'c' || digit == 'f':
+			value = digit - 'a' + 10
 		default:
-			return num, fmt.Errorf("isup: %q is no digit", c)
+			return number, fmt.Errorf("isup: %q is no digit", digit)
 		}
-		num.bcd[i/2] |= d << (4 * (i % 2))
-		num.n++
+		number.bcd[i/2] |= value << (4 * (i % 2))
+		number.n++
 	}
-	return num, nil
+	return number, nil
 }
 
 // Len is the number of digits.
@@ -174,25 +174,25 @@
 func (n Number) String() string { return string(n.AppendDigits(make([]byte, 0, 24))) }
 
 // decodeNumber reads the address signals from a called or calling party number, whose first two octets it has.
-func decodeNumber(v []byte) (Number, error) {
-	num := Number{Nature: v[0] & 0x7f}
-	digits := 2 * (len(v) - 2)
-	if v[0]&0x80 != 0 {
+func decodeNumber(value []byte) (Number, error) {
+	number := Number{Nature: value[0] & 0x7f}
+	digits := 2 * (len(value) - 2)
+	if value[0]&0x80 != 0 {
 		digits--
 	}
-	if digits < 0 || digits > 2*len(num.bcd) {
-		return num, fmt.Errorf("a number of %d digits", digits)
+	if digits < 0 || digits > 2*len(number.bcd) {
+		return number, fmt.Errorf("a number of %d digits", digits)
 	}
-	num.n = uint8(digits)
-	copy(num.bcd[:], v[2:])
+	number.n = uint8(digits)
+	copy(number.bcd[:], value[2:])
 	if digits%2 == 1 {
-		num.bcd[digits/2] &= 0x0f // the filler is no digit
+		number.bcd[digits/2] &= 0x0f // the filler is no digit
 	}
-	return num, nil
+	return number, nil
 }
 
-func (n Number) encode(b []byte, second byte) []byte {
-	b = append(b, n.Nature&0x7f|n.n%2<<7, second)
+func (n Number) appendTo(b []byte, numberingPlan byte) []byte {
+	b = append(b, n.Nature&0x7f|n.n%2<<7, numberingPlan)
 	return append(b, n.bcd[:(n.n+1)/2]...)
 }
 
@@ -214,28 +214,28 @@
 	Type Type
 
 	// IAM
-	Nature      byte // nature of connection indicators (Q.763, 3.35)
-	Forward     uint16
-	Category    Category
-	Medium      byte // transmission medium requirement (Q.763, 3.54)
-	Called      Number
-	HasCalling  bool
-	Calling     Number
-	HasHops     bool
-	Hops        byte // hop counter, 0 to 31 (Q.763, 3.80)
-	HasRef      bool
-	Ref         CallReference
-	HasDelay    bool
-	Delay       uint16 // propagation delay counter, in milliseconds (Q.763, 3.42)
-	Backward    uint16 // ACM, CON: backward call indicators (Q.763, 3.5)
-	Event       byte   // CPG: event information (Q.763, 3.21)
-	Cause       Cause  // REL, and what else has cause indicators
-	Location    Location
-	Congestion  byte // REL: automatic congestion level, 1 or 2; 0: not given (Q.763, 3.4)
-	Supervision Supervision
-	Range       byte   // group messages: circuits beyond the first
-	Status      []byte // one bit a circuit, from the lowest on
-	Circuits    []byte // CQR: one octet a circuit
+	NatureOfConnection  byte // nature of connection indicators (Q.763, 3.35)
+	ForwardIndicators   uint16
+	Category            Category
+	TransmissionMedium  byte // transmission medium requirement (Q.763, 3.54)
+	Called              Number
+	HasCalling          bool
+	Calling             Number
+	HasHops             bool
+	Hops                byte // hop counter, 0 to 31 (Q.763, 3.80)
+	HasRef              bool
+	Ref                 CallReference
+	HasPropagationDelay bool
+	PropagationDelay    uint16 // propagation delay counter, in milliseconds (Q.763, 3.42)
+	BackwardIndicators  uint16 // ACM, CON: backward call indicators (Q.763, 3.5)
+	EventInformation    byte   // CPG: event information (Q.763, 3.21)
+	Cause               Cause  // REL, and what else has cause indicators
+	Location            Location
+	CongestionLevel     byte // REL: automatic congestion level, 1 or 2; 0: not given (Q.763, 3.4)
+	Supervision         Supervision
+	Range               byte   // group messages: circuits beyond the first
+	Status              []byte // one bit a circuit, from the lowest on
+	Circuits            []byte // CQR: one octet a circuit
 
 	Compat   []byte // parameter compatibility information (Q.763, 3.41)
 	Optional []Optional
@@ -245,10 +245,12 @@
 type Error struct {
 	Type   Type
 	Offset int
-	What   string
+	Reason string
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("isup: %v octet %d: %s", e.Type, e.Offset, e.What) }
+func (e *Error) Error() string {
+	return fmt.Sprintf("isup: %v octet %d: %s", e.Type, e.Offset, e.Reason)
+}
 
 // layout is the form of a message type (Q.763, tables 21 to 51): octets of the mandatory fixed part, number of
 // mandatory variable parameters, and whether an optional part may follow.
@@ -264,110 +266,110 @@
 	CGUA: {1, 1, false},
 }
 
-var layoutOf [256]struct {
+var layoutTable [256]struct {
 	layout
 	known bool
 }
 
 func init() {
 	for t, l := range layouts {
-		layoutOf[t].layout, layoutOf[t].known = l, true
+		layoutTable[t].layout, layoutTable[t].known = l, true
 	}
 }
 
 // Known tells whether the type is one of this package's.
-func Known(t Type) bool { return layoutOf[t].known }
+func Known(t Type) bool { return layoutTable[t].known }
 
 // Decode reads the octets from the CIC on into m, whose slices are reused. The error is an *Error; for a type that is
 // not known m has its CIC and type, and the caller acts on Compatibility (Q.764, 2.9.5.2).
 func Decode(b []byte, m *Message) error {
-	opt := m.Optional[:0]
-	*m = Message{Optional: opt}
+	parameters := m.Optional[:0]
+	*m = Message{Optional: parameters}
 	if len(b) < 3 {
 		return &Error{0, 0, "shorter than CIC and message type"}
 	}
 	m.CIC = binary.LittleEndian.Uint16(b) & MaxCIC
 	m.Type = Type(b[2])
-	l := layoutOf[m.Type]
+	l := layoutTable[m.Type]
 	if !l.known {
 		return &Error{m.Type, 2, "unknown message type"}
 	}
-	at := 3
-	if len(b) < at+l.fixed {
-		return &Error{m.Type, at, "the mandatory fixed part is cut off"}
+	offset := 3
+	if len(b) < offset+l.fixed {
+		return &Error{m.Type, offset, "the mandatory fixed part is cut off"}
 	}
-	f := b[at:]
+	fixedPart := b[offset:]
 	switch m.Type {
 	case IAM:
-		m.Nature, m.Forward = f[0], binary.LittleEndian.Uint16(f[1:])
-		m.Category, m.Medium = Category(f[3]), f[4]
+		m.NatureOfConnection, m.ForwardIndicators = fixedPart[0], binary.LittleEndian.Uint16(fixedPart[1:])
+		m.Category, m.TransmissionMedium = Category(fixedPart[3]), fixedPart[4]
 	case ACM, CON:
-		m.Backward = binary.LittleEndian.Uint16(f)
+		m.BackwardIndicators = binary.LittleEndian.Uint16(fixedPart)
 	case CPG:
-		m.Event = f[0]
+		m.EventInformation = fixedPart[0]
 	case CGB, CGU, CGBA, CGUA:
-		m.Supervision = Supervision(f[0] & 3)
+		m.Supervision = Supervision(fixedPart[0] & 3)
 	}
-	at += l.fixed
+	offset += l.fixed
 	pointers := l.variable
 	if l.optional {
 		pointers++
 	}
-	if len(b) < at+pointers {
-		if l.variable == 0 && len(b) == at { // a message without even its pointer: nothing optional follows
+	if len(b) < offset+pointers {
+		if l.variable == 0 && len(b) == offset { // a message without even its pointer: nothing optional follows
 			return nil
 		}
-		return &Error{m.Type, at, "a pointer is cut off"}
+		return &Error{m.Type, offset, "a pointer is cut off"}
 	}
 	for i := range l.variable {
-		v, err := variable(b, at+i, m.Type)
+		value, err := variable(b, offset+i, m.Type)
 		if err != nil {
 			return err
 		}
-		if what := m.mandatory(i, v); what != "" {
-			return &Error{m.Type, at + i, what}
+		if reason := m.decodeMandatory(i, value); reason != "" {
+			return &Error{m.Type, offset + i, reason}
 		}
 	}
-	if l.optional && b[at+l.variable] != 0 {
-		return m.optionals(b, at+l.variable+int(b[at+l.variable]))
+	if l.optional && b[offset+l.variable] != 0 {
+		return m.decodeOptional(b, offset+l.variable+int(b[offset+l.variable]))
 	}
 	return nil
 }
 
 // variable follows the pointer at p to a parameter's content.
-func variable(b []byte, p int, t Type) ([]byte, error) {
-	at := p + int(b[p])
-	if b[p] == 0 || at >= len(b) || at+1+int(b[at]) > len(b) {
-		return nil, &Error{t, p, "a pointer or length leads beyond the end"}
+func variable(b []byte, pointer int, messageType Type) ([]byte, error) {
+	offset := pointer + int(b[pointer])
+	if b[pointer] == 0 || offset >= len(b) || offset+1+int(b[offset]) > len(b) {
+		return nil, &Error{messageType, pointer, "a pointer or length leads beyond the end"}
 	}
-	return b[at+1 : at+1+int(b[at])], nil
+	return b[offset+1 : offset+1+int(b[offset])], nil
 }
 
-func (m *Message) mandatory(i int, v []byte) (what string) {
+func (m *Message) decodeMandatory(index int, value []byte) (reason string) {
 	switch m.Type {
 	case IAM:
-		if len(v) < 2 {
+		if len(value) < 2 {
 			return "a called party number without its indicators"
 		}
-		n, err := decodeNumber(v)
+		number, err := decodeNumber(value)
 		if err != nil {
 			return err.Error()
 		}
-		m.Called = n
+		m.Called = number
 	case REL:
-		return m.cause(v)
+		return m.decodeCause(value)
 	default: // range and status, then circuit states
-		if i == 1 {
-			if len(v) != int(m.Range)+1 {
-				return fmt.Sprintf("%d circuit states for %d circuits", len(v), m.Range+1)
+		if index == 1 {
+			if len(value) != int(m.Range)+1 {
+				return fmt.Sprintf("%d circuit states for %d circuits", len(value), m.Range+1)
 			}
-			m.Circuits = v
+			m.Circuits = value
 			return ""
 		}
-		if len(v) < 1 {
+		if len(value) < 1 {
 			return "no range"
 		}
-		m.Range, m.Status = v[0], v[1:]
+		m.Range, m.Status = value[0], value[1:]
 		withStatus := m.Type != GRS && m.Type != CQM && m.Type != CQR
 		if withStatus && len(m.Status) < (int(m.Range)+8)/8 {
 			return "a status field too short for its range"
@@ -382,87 +384,87 @@
 	return ""
 }
 
-func (m *Message) cause(v []byte) string {
-	if len(v) < 2 || v[0]&0x80 == 0 && len(v) < 3 {
+func (m *Message) decodeCause(value []byte) string {
+	if len(value) < 2 || value[0]&0x80 == 0 && len(value) < 3 {
 		return "cause indicators too short"
 	}
-	m.Location = Location(v[0] & 15)
-	i := 1
-	if v[0]&0x80 == 0 { // an octet of recommendation lies between
-		i = 2
+	m.Location = Location(value[0] & 15)
+	index := 1
+	if value[0]&0x80 == 0 { // an octet of recommendation lies between
+		index = 2
 	}
-	m.Cause = Cause(v[i] & 0x7f)
+	m.Cause = Cause(value[index] & 0x7f)
 	return ""
 }
 
-func (m *Message) optionals(b []byte, at int) error {
+func (m *Message) decodeOptional(b []byte, offset int) error {
 	for {
-		if at >= len(b) {
-			return &Error{m.Type, at, "the optional part has no end"}
+		if offset >= len(b) {
+			return &Error{m.Type, offset, "the optional part has no end"}
 		}
-		code := b[at]
+		code := b[offset]
 		if code == 0 {
 			return nil
 		}
-		if at+2 > len(b) || at+2+int(b[at+1]) > len(b) {
-			return &Error{m.Type, at, fmt.Sprintf("optional parameter %#02x is cut off", code)}
+		if offset+2 > len(b) || offset+2+int(b[offset+1]) > len(b) {
+			return &Error{m.Type, offset, fmt.Sprintf("optional parameter %#02x is cut off", code)}
 		}
-		v := b[at+2 : at+2+int(b[at+1])]
-		short := func(n int) bool { return len(v) < n }
-		bad := false
+		value := b[offset+2 : offset+2+int(b[offset+1])]
+		shorter := func(n int) bool { return len(value) < n }
+		invalid := false
 		switch {
-		case code == parCallingNumber && m.Type == IAM:
-			if bad = short(2); !bad {
-				n, err := decodeNumber(v)
-				bad, m.HasCalling, m.Calling = err != nil, true, n
+		case code == paramCallingPartyNumber && m.Type == IAM:
+			if invalid = shorter(2); !invalid {
+				n, err := decodeNumber(value)
+				invalid, m.HasCalling, m.Calling = err != nil, true, n
 			}
-		case code == parHopCounter && m.Type == IAM:
-			if bad = short(1); !bad {
-				m.HasHops, m.Hops = true, v[0]&31
+		case code == paramHopCounter && m.Type == IAM:
+			if invalid = shorter(1); !invalid {
+				m.HasHops, m.Hops = true, value[0]&31
 			}
-		case code == parCallReference:
-			if bad = short(5); !bad {
+		case code == paramCallReference:
+			if invalid = shorter(5); !invalid {
 				m.HasRef = true
-				m.Ref = CallReference{uint32(v[0])<<16 | uint32(v[1])<<8 | uint32(v[2]),
-					binary.LittleEndian.Uint16(v[3:]) & 0x3fff}
+				m.Ref = CallReference{uint32(value[0])<<16 | uint32(value[1])<<8 | uint32(value[2]),
+					binary.LittleEndian.Uint16(value[3:]) & 0x3fff}
 			}
-		case code == parPropagation && m.Type == IAM:
-			if bad = short(2); !bad {
-				m.HasDelay, m.Delay = true, binary.BigEndian.Uint16(v)
+		case code == paramPropagationDelayCounter && m.Type == IAM:
+			if invalid = shorter(2); !invalid {
+				m.HasPropagationDelay, m.PropagationDelay = true, binary.BigEndian.Uint16(value)
 			}
-		case code == parCongestion && m.Type == REL:
-			if bad = short(1); !bad {
-				m.Congestion = v[0]
+		case code == paramCongestionLevel && m.Type == REL:
+			if invalid = shorter(1); !invalid {
+				m.CongestionLevel = value[0]
 			}
-		case code == parCause:
-			bad = m.cause(v) != ""
-		case code == parCompat:
-			m.Compat = v
+		case code == paramCauseIndicators:
+			invalid = m.decodeCause(value) != ""
+		case code == paramParameterCompatibility:
+			m.Compat = value
 		default:
-			m.Optional = append(m.Optional, Optional{code, v})
+			m.Optional = append(m.Optional, Optional{code, value})
 		}
-		if bad {
-			return &Error{m.Type, at, fmt.Sprintf("optional parameter %#02x of %d octets", code, len(v))}
+		if invalid {
+			return &Error{m.Type, offset, fmt.Sprintf("optional parameter %#02x of %d octets", code, len(value))}
 		}
-		at += 2 + int(b[at+1])
+		offset += 2 + int(b[offset+1])
 	}
 }
 
 // Append writes m behind dst.
 func Append(dst []byte, m *Message) []byte {
 	dst = append(dst, byte(m.CIC), byte(m.CIC>>8), byte(m.Type))
-	l := layoutOf[m.Type]
+	l := layoutTable[m.Type]
 	switch m.Type {
 	case IAM:
-		dst = append(dst, m.Nature, byte(m.Forward), byte(m.Forward>>8), byte(m.Category), m.Medium)
+		dst = append(dst, m.NatureOfConnection, byte(m.ForwardIndicators), byte(m.ForwardIndicators>>8), byte(m.Category), m.TransmissionMedium)
 	case ACM, CON:
-		dst = append(dst, byte(m.Backward), byte(m.Backward>>8))
+		dst = append(dst, byte(m.BackwardIndicators), byte(m.BackwardIndicators>>8))
 	case CPG:
-		dst = append(dst, m.Event)
+		dst = append(dst, m.EventInformation)
 	case CGB, CGU, CGBA, CGUA:
 		dst = append(dst, byte(m.Supervision))
 	}
-	p := len(dst)
+	pointers := len(dst)
 	for range l.variable {
 		dst = append(dst, 0)
 	}
@@ -470,12 +472,12 @@
 		dst = append(dst, 0)
 	}
 	for i := range l.variable {
-		dst[p+i] = byte(len(dst) - p - i)
-		at := len(dst)
+		dst[pointers+i] = byte(len(dst) - pointers - i)
+		start := len(dst)
 		dst = append(dst, 0)
 		switch {
 		case m.Type == IAM:
-			dst = m.Called.encode(dst, 0x10) // ISDN numbering plan, routing to internal number allowed
+			dst = m.Called.appendTo(dst, 0x10) // ISDN numbering plan, routing to internal number allowed
 		case m.Type == REL:
 			dst = append(dst, 0x80|byte(m.Location), 0x80|byte(m.Cause))
 		case i == 1:
@@ -483,41 +485,41 @@
 		default:
 			dst = append(append(dst, m.Range), m.Status...)
 		}
-		dst[at] = byte(len(dst) - at - 1)
+		dst[start] = byte(len(dst) - start - 1)
 	}
 	if !l.optional {
 		return dst
 	}
-	at := len(dst)
+	start := len(dst)
 	if m.HasCalling {
 		o := len(dst)
-		dst = m.Calling.encode(append(dst, parCallingNumber, 0), 0x13) // presentation allowed, network provided
+		dst = m.Calling.appendTo(append(dst, paramCallingPartyNumber, 0), 0x13) // presentation allowed, network provided
 		dst[o+1] = byte(len(dst) - o - 2)
 	}
 	if m.HasRef {
-		dst = append(dst, parCallReference, 5, byte(m.Ref.ID>>16), byte(m.Ref.ID>>8), byte(m.Ref.ID),
+		dst = append(dst, paramCallReference, 5, byte(m.Ref.ID>>16), byte(m.Ref.ID>>8), byte(m.Ref.ID),
 			byte(m.Ref.PC), byte(m.Ref.PC>>8))
 	}
-	if m.HasDelay {
-		dst = append(dst, parPropagation, 2, byte(m.Delay>>8), byte(m.Delay))
+	if m.HasPropagationDelay {
+		dst = append(dst, paramPropagationDelayCounter, 2, byte(m.PropagationDelay>>8), byte(m.PropagationDelay))
 	}
 	if m.HasHops {
-		dst = append(dst, parHopCounter, 1, m.Hops)
+		dst = append(dst, paramHopCounter, 1, m.Hops)
 	}
-	if m.Congestion != 0 && m.Type == REL {
-		dst = append(dst, parCongestion, 1, m.Congestion)
+	if m.CongestionLevel != 0 && m.Type == REL {
+		dst = append(dst, paramCongestionLevel, 1, m.CongestionLevel)
 	}
 	if m.Cause != 0 && m.Type != REL {
-		dst = append(dst, parCause, 2, 0x80|byte(m.Location), 0x80|byte(m.Cause))
+		dst = append(dst, paramCauseIndicators, 2, 0x80|byte(m.Location), 0x80|byte(m.Cause))
 	}
 	if len(m.Compat) > 0 {
-		dst = append(append(dst, parCompat, byte(len(m.Compat))), m.Compat...)
+		dst = append(append(dst, paramParameterCompatibility, byte(len(m.Compat))), m.Compat...)
 	}
 	for _, o := range m.Optional {
 		dst = append(append(dst, o.Code, byte(len(o.Value))), o.Value...)
 	}
-	if len(dst) > at {
-		dst[p+l.variable] = byte(at - p - l.variable)
+	if len(dst) > start {
+		dst[pointers+l.variable] = byte(start - pointers - l.variable)
 		dst = append(dst, 0)
 	}
 	return dst
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -13,7 +13,7 @@
 // The same cases at every run; other seeds by hand: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
-func number(t testing.TB, digits string) Number {
+func mustParseNumber(t testing.TB, digits string) Number {
 	t.Helper()
 	n, err := ParseNumber(4, digits)
 	if err != nil {
@@ -29,14 +29,14 @@
 }{
 	{"IAM", "2301" + "01" + "00" + "6000" + "0a" + "03" + "02" + "07" + "05" + "84" + "10" + "214305" + // odd: 5 digits
 		"0a04" + "0413" + "8967" + "0105" + "010203" + "0510" + "3d01" + "14" + "00",
-		Message{CIC: 0x123, Type: IAM, Forward: 0x60, Category: CategoryOrdinary, Medium: 3, HasCalling: true, HasRef: true,
+		Message{CIC: 0x123, Type: IAM, ForwardIndicators: 0x60, Category: CategoryOrdinary, TransmissionMedium: 3, HasCalling: true, HasRef: true,
 			Ref: CallReference{0x010203, 0x1005}, HasHops: true, Hops: 20}},
-	{"ACM", "0100" + "06" + "1604" + "00", Message{CIC: 1, Type: ACM, Backward: 0x0416}},
+	{"ACM", "0100" + "06" + "1604" + "00", Message{CIC: 1, Type: ACM, BackwardIndicators: 0x0416}},
 	{"ANM", "0100" + "09" + "00", Message{CIC: 1, Type: ANM}},
-	{"CON", "0100" + "07" + "1604" + "00", Message{CIC: 1, Type: CON, Backward: 0x0416}},
+	{"CON", "0100" + "07" + "1604" + "00", Message{CIC: 1, Type: CON, BackwardIndicators: 0x0416}},
 	{"REL", "0100" + "0c" + "0200" + "02" + "84aa", Message{CIC: 1, Type: REL, Location: LocationNetwork, Cause: CauseCongestion}},
 	{"REL with level", "0100" + "0c" + "0204" + "02" + "84aa" + "270102" + "00",
-		Message{CIC: 1, Type: REL, Location: LocationNetwork, Cause: CauseCongestion, Congestion: 2}},
+		Message{CIC: 1, Type: REL, Location: LocationNetwork, Cause: CauseCongestion, CongestionLevel: 2}},
 	{"RLC", "0100" + "10" + "00", Message{CIC: 1, Type: RLC}},
 	{"RSC", "ff0f" + "12", Message{CIC: MaxCIC, Type: RSC}},
 	{"BLO", "0100" + "13", Message{CIC: 1, Type: BLO}},
@@ -48,10 +48,10 @@
 	{"CGB", "0100" + "18" + "01" + "01" + "02" + "03" + "05", Message{CIC: 1, Type: CGB, Supervision: Hardware, Range: 3, Status: []byte{5}}},
 	{"CQM", "0100" + "2a" + "01" + "01" + "01", Message{CIC: 1, Type: CQM, Range: 1, Status: []byte{}}},
 	{"CQR", "0100" + "2b" + "0203" + "01" + "01" + "02" + "0c04", Message{CIC: 1, Type: CQR, Range: 1, Status: []byte{}, Circuits: []byte{0x0c, 0x04}}},
-	{"CPG", "0100" + "2c" + "01" + "00", Message{CIC: 1, Type: CPG, Event: 1}},
+	{"CPG", "0100" + "2c" + "01" + "00", Message{CIC: 1, Type: CPG, EventInformation: 1}},
 }
 
-func TestFormats(t *testing.T) {
+func TestCodecMatchesQ763Formats(t *testing.T) {
 	for _, s := range samples {
 		b, err := hex.DecodeString(s.hex)
 		if err != nil {
@@ -59,7 +59,7 @@
 		}
 		want := s.msg
 		if s.name == "IAM" {
-			want.Called, want.Calling = number(t, "12345"), number(t, "9876")
+			want.Called, want.Calling = mustParseNumber(t, "12345"), mustParseNumber(t, "9876")
 		}
 		var m Message
 		if err := Decode(b, &m); err != nil {
@@ -76,7 +76,7 @@
 }
 
 // Every message cut off anywhere is refused or read, and never read past its end.
-func TestCutOff(t *testing.T) {
+func TestTruncatedAndInconsistentMessagesAreRefused(t *testing.T) {
 	var m Message
 	for _, s := range samples {
 		b, _ := hex.DecodeString(s.hex)
@@ -88,7 +88,7 @@
 			}
 		}
 	}
-	for what, text := range map[string]string{
+	for problem, encoded := range map[string]string{
 		"pointer beyond":     "0100" + "0c" + "0900" + "02" + "84aa",
 		"no end of options":  "0100" + "0c" + "0204" + "02" + "84aa" + "270102",
 		"option too long":    "0100" + "09" + "01" + "27ff02" + "00",
@@ -98,16 +98,16 @@
 		"unknown type":       "0100" + "99",
 		"cause of one octet": "0100" + "0c" + "0200" + "01" + "84",
 	} {
-		b, _ := hex.DecodeString(text)
+		b, _ := hex.DecodeString(encoded)
 		if err := Decode(b, &m); err == nil {
-			t.Errorf("%s passes", what)
+			t.Errorf("%s passes", problem)
 		}
 	}
 }
 
-func TestNumbers(t *testing.T) {
+func TestParseNumberRoundTripsAndRefusesOtherSigns(t *testing.T) {
 	for _, d := range []string{"", "1", "12", "123456789012345678901234", "0bcf"} {
-		if n := number(t, d); n.String() != d || n.Len() != len(d) {
+		if n := mustParseNumber(t, d); n.String() != d || n.Len() != len(d) {
 			t.Errorf("%q reads as %q", d, n)
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 // Unknown optional parameters pass, or are dropped, or end the call, as their instructions say (Q.764, 2.9.5.3).
-func TestUnknownParameters(t *testing.T) {
+func TestUnknownParametersFollowInstructions(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		compat  []byte
@@ -143,21 +143,21 @@
 	}
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestIAMRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		digits := rapid.StringMatching(`[0-9]{0,24}`)
 		called, _ := ParseNumber(rapid.Byte().Draw(t, "nature")&0x7f, digits.Draw(t, "called"))
-		m := Message{CIC: rapid.Uint16Max(MaxCIC).Draw(t, "cic"), Type: IAM, Nature: rapid.Byte().Draw(t, "n"),
-			Forward: rapid.Uint16().Draw(t, "f"), Category: Category(rapid.Byte().Draw(t, "cat")), Medium: 3, Called: called,
-			HasRef: rapid.Bool().Draw(t, "ref"), HasHops: rapid.Bool().Draw(t, "hops"), HasDelay: rapid.Bool().Draw(t, "delay")}
+		m := Message{CIC: rapid.Uint16Max(MaxCIC).Draw(t, "cic"), Type: IAM, NatureOfConnection: rapid.Byte().Draw(t, "n"),
+			ForwardIndicators: rapid.Uint16().Draw(t, "f"), Category: Category(rapid.Byte().Draw(t, "cat")), TransmissionMedium: 3, Called: called,
+			HasRef: rapid.Bool().Draw(t, "ref"), HasHops: rapid.Bool().Draw(t, "hops"), HasPropagationDelay: rapid.Bool().Draw(t, "delay")}
 		if m.HasRef {
 			m.Ref = CallReference{rapid.Uint32Max(1<<24-1).Draw(t, "id"), rapid.Uint16Max(1<<14-1).Draw(t, "pc")}
 		}
 		if m.HasHops {
 			m.Hops = rapid.ByteMax(31).Draw(t, "h")
 		}
-		if m.HasDelay {
-			m.Delay = rapid.Uint16().Draw(t, "d")
+		if m.HasPropagationDelay {
+			m.PropagationDelay = rapid.Uint16().Draw(t, "d")
 		}
 		if rapid.Bool().Draw(t, "opt") {
 			m.Optional = []Optional{{0x71, rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "v")}}
@@ -194,7 +194,7 @@
 }
 
 // plain is the decoder that would be written first: parameters in a map, numbers as strings.
-func plain(b []byte) (map[byte][]byte, string) {
+func referenceDecode(b []byte) (map[byte][]byte, string) {
 	params := map[byte][]byte{}
 	v := b[9+int(b[8])-1:]
 	called := ""
@@ -209,7 +209,7 @@
 }
 
 func BenchmarkDecodeIAM(b *testing.B) {
-	m := Message{CIC: 5, Type: IAM, Called: number(b, "82105550123456"), HasCalling: true, Calling: number(b, "82105550999999"),
+	m := Message{CIC: 5, Type: IAM, Called: mustParseNumber(b, "82105550123456"), HasCalling: true, Calling: mustParseNumber(b, "82105550999999"),
 		HasRef: true, Ref: CallReference{7, 9}, HasHops: true, Hops: 10}
 	frame := Append(nil, &m)
 	b.Run("here", func(b *testing.B) {
@@ -223,13 +223,13 @@
 	b.Run("plain", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			plain(frame)
+			referenceDecode(frame)
 		}
 	})
 }
 
 func BenchmarkAppendIAM(b *testing.B) {
-	m := Message{CIC: 5, Type: IAM, Called: number(b, "82105550123456"), HasCalling: true, Calling: number(b, "82105550999999")}
+	m := Message{CIC: 5, Type: IAM, Called: mustParseNumber(b, "82105550123456"), HasCalling: true, Calling: mustParseNumber(b, "82105550999999")}
 	buf := make([]byte, 0, 128)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/load/run.go
+++ b/load/run.go
@@ -303,7 +303,7 @@
 		var reply *m3ua.Message
 		switch m.Kind {
 		case m3ua.ASPUPAck:
-			reply = &m3ua.Message{Kind: m3ua.ASPAC, Traffic: m3ua.TrafficOverride}
+			reply = &m3ua.Message{Kind: m3ua.ASPAC, TrafficMode: m3ua.TrafficOverride}
 		case m3ua.ASPACAck:
 			if !x.post(ctx, func() { x.out = out; first() }) {
 				return
@@ -395,7 +395,7 @@
 	k.state = waiting
 	r.open++
 	r.late.RecordValue(max(1, (r.now() - k.due).Microseconds()))
-	x.send(&isup.Message{Type: isup.IAM, CIC: k.cic, Category: isup.Category(cl.Category), Medium: 3, Called: called, HasCalling: true, Calling: calling,
+	x.send(&isup.Message{Type: isup.IAM, CIC: k.cic, Category: isup.Category(cl.Category), TransmissionMedium: 3, Called: called, HasCalling: true, Calling: calling,
 		HasRef: true, Ref: isup.CallReference{ID: r.refs & 0xffffff, PC: uint16(x.pc)}})
 	k.timer = r.wheel.Set(k.due+cl.Patience, func() {
 		r.t.Abandoned++
@@ -474,7 +474,7 @@
 		switch {
 		case k.state == waiting, k.state == ringing:
 			r.t.Refused++
-			if m.Cause != isup.CauseNoAnswer && m.Cause != isup.CauseNoUser { // nobody is there
+			if m.Cause != isup.CauseNoAnswer && m.Cause != isup.CauseNoUserResponding { // nobody is there
 				x.again(k)
 			}
 		case m.Cause == isup.CauseNormal:
--- a/m3ua/as_test.go
+++ b/m3ua/as_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestASModes(t *testing.T) {
+func TestASRoutesByTrafficMode(t *testing.T) {
 	frame := []byte("frame")
 	for mode, want := range map[uint32]string{
 		TrafficOverride:  "[2] [2] [2]",
@@ -17,8 +17,8 @@
 		TrafficBroadcast: "[1 2] [1 2] [1 2]",
 	} {
 		s := NewAS(mode, time.Second, 100)
-		s.Up(1)
-		_, replaced := s.Up(2)
+		s.Activate(1)
+		_, replaced := s.Activate(2)
 		if got := slices.Equal(replaced, []uint32{1}); got != (mode == TrafficOverride) {
 			t.Errorf("mode %d: replaced %v", mode, replaced)
 		}
@@ -26,19 +26,19 @@
 		got[0], _ = s.Route(frame, 1, 1, nil)
 		got[1], _ = s.Route(frame, 0, 9, nil)
 		got[2], _ = s.Route(frame, 1, 9, nil)
-		if x := fmt.Sprint(got[0], got[1], got[2]); x != want {
-			t.Errorf("mode %d: %s, want %s", mode, x, want)
+		if routes := fmt.Sprint(got[0], got[1], got[2]); routes != want {
+			t.Errorf("mode %d: %s, want %s", mode, routes, want)
 		}
 	}
 }
 
-func TestASPending(t *testing.T) {
+func TestPendingASQueuesUpToLimitUntilRecoveryEnds(t *testing.T) {
 	s := NewAS(TrafficLoadshare, 2*time.Second, 10)
 	if _, ok := s.Route([]byte("x"), 0, 0, nil); ok {
 		t.Error("nobody was ever there, and a message waits")
 	}
-	s.Up(1)
-	s.Down(time.Second, 1)
+	s.Activate(1)
+	s.Deactivate(time.Second, 1)
 	for i, want := range []bool{true, true, false} { // four octets each, of ten
 		if to, ok := s.Route(fmt.Appendf(nil, "m%03d", i), 0, 1, nil); ok != want || len(to) > 0 {
 			t.Errorf("message %d: %v %v", i, to, ok)
@@ -47,77 +47,77 @@
 	if s.Expire(2999*time.Millisecond) || s.State() != ASPending {
 		t.Error("T(r) ended early")
 	}
-	kept, _ := s.Up(7)
-	if len(kept) != 2 || string(kept[0]) != "m000" || string(kept[1]) != "m001" || s.Expire(time.Hour) {
-		t.Errorf("kept %q", kept)
+	queued, _ := s.Activate(7)
+	if len(queued) != 2 || string(queued[0]) != "m000" || string(queued[1]) != "m001" || s.Expire(time.Hour) {
+		t.Errorf("kept %q", queued)
 	}
-	s.Down(10*time.Second, 7)
+	s.Deactivate(10*time.Second, 7)
 	s.Route([]byte("late"), 0, 7, nil)
 	if !s.Expire(12*time.Second) || s.State() != ASDown {
 		t.Error("T(r) does not end")
 	}
-	if kept, _ := s.Up(8); len(kept) > 0 {
-		t.Errorf("%q outlived T(r)", kept)
+	if queued, _ := s.Activate(8); len(queued) > 0 {
+		t.Errorf("%q outlived T(r)", queued)
 	}
 }
 
 // Whatever comes and goes: nothing is both kept and sent, a call's messages arrive in their order on each association and
 // move only when theirs is lost, and what is kept is bounded.
-func TestASSequence(t *testing.T) {
+func TestASKeepsCallsInSequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mode := rapid.SampledFrom([]uint32{TrafficOverride, TrafficLoadshare}).Draw(t, "mode")
 		s := NewAS(mode, time.Second, 40)
-		up, now := map[uint32]bool{}, time.Duration(0)
+		active, now := map[uint32]bool{}, time.Duration(0)
 		last, next := map[byte]uint32{}, map[byte]int{}
 		sent := map[byte][]int{}
-		deliver := func(id uint32, f []byte) {
-			if !up[id] {
+		deliver := func(id uint32, frame []byte) {
+			if !active[id] {
 				t.Fatalf("sent to %d, which is not there", id)
 			}
-			sent[f[0]] = append(sent[f[0]], int(f[1]))
-			last[f[0]] = id
+			sent[frame[0]] = append(sent[frame[0]], int(frame[1]))
+			last[frame[0]] = id
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			id := uint32(rapid.IntRange(1, 3).Draw(t, "id"))
 			switch rapid.IntRange(0, 5).Draw(t, "op") {
 			case 0:
-				kept, replaced := s.Up(id)
-				up[id] = true
+				queued, replaced := s.Activate(id)
+				active[id] = true
 				for _, r := range replaced {
-					delete(up, r)
+					delete(active, r)
 				}
-				for _, f := range kept {
-					deliver(id, f)
+				for _, frame := range queued {
+					deliver(id, frame)
 				}
 			case 1:
-				s.Down(now, id)
-				delete(up, id)
+				s.Deactivate(now, id)
+				delete(active, id)
 			case 2:
 				now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond
 				s.Expire(now)
 			default:
 				call := byte(rapid.IntRange(0, 3).Draw(t, "call"))
-				f := []byte{call, byte(next[call])}
+				frame := []byte{call, byte(next[call])}
 				next[call]++
-				was := last[call]
-				to, ok := s.Route(f, call, was, nil)
+				previous := last[call]
+				to, ok := s.Route(frame, call, previous, nil)
 				if ok == (s.State() == ASDown) && s.State() != ASPending {
 					t.Fatalf("ok %v in state %v", ok, s.State())
 				}
-				if up[was] && (len(to) != 1 || to[0] != was) {
-					t.Fatalf("a call moved from %d to %v, which is there still", was, to)
+				if active[previous] && (len(to) != 1 || to[0] != previous) {
+					t.Fatalf("a call moved from %d to %v, which is there still", previous, to)
 				}
 				for _, id := range to {
-					deliver(id, f)
+					deliver(id, frame)
 				}
 			}
-			if s.octets > 40 {
-				t.Fatalf("%d octets wait", s.octets)
+			if s.queuedOctets > 40 {
+				t.Fatalf("%d octets wait", s.queuedOctets)
 			}
 		}
-		for call, of := range sent {
-			if !slices.IsSorted(of) || len(slices.Compact(slices.Clone(of))) != len(of) {
-				t.Fatalf("call %d: %v", call, of)
+		for call, numbers := range sent {
+			if !slices.IsSorted(numbers) || len(slices.Compact(slices.Clone(numbers))) != len(numbers) {
+				t.Fatalf("call %d: %v", call, numbers)
 			}
 		}
 	})
--- a/m3ua/asp.go
+++ b/m3ua/asp.go
@@ -52,7 +52,7 @@
 	Deliver             // a message for the user: DATA, SSNM or NTFY
 	Activated           // traffic may flow from now on
 	Deactivated         // traffic stops; the connection stays
-	Broken              // the association is of no use any more: close the connection
+	Failed              // the association is of no use any more: close the connection
 )
 
 // ASP is the end of an association that asks for traffic: it sends ASPUP and ASPAC (RFC 4666, 4.3.4). SGP, the other
@@ -60,63 +60,63 @@
 type ASP struct {
 	Out []byte // frames to be sent; the owner takes them and cuts the slice
 
-	t       Timers
-	server  bool
-	state   State
-	id      uint32
-	context uint32
-	traffic uint32
-	want    Kind // acknowledgement awaited; 0: none
-	tries   int
-	due     time.Duration // of the acknowledgement
-	heard   time.Duration
-	beatAt  time.Duration
-	beats   uint64
-	probe   probe
+	timers       Timers
+	server       bool
+	state        State
+	id           uint32
+	context      uint32
+	trafficMode  uint32
+	awaited      Kind // acknowledgement awaited; 0: none
+	unacked      int
+	ackDeadline  time.Duration // of the acknowledgement
+	lastReceived time.Duration
+	nextBeat     time.Duration
+	beatCount    uint64
+	heartbeat    heartbeat
 }
 
 // probe is a heartbeat that has no acknowledgement yet, and what is known of the time that they take (RFC 6298, section 2).
-type probe struct {
-	sent       [8]time.Duration // of the last ones, by number
-	due        time.Duration    // of the acknowledgement; 0: none is awaited
-	missed     int
-	smoothed   time.Duration // SRTT; 0: none was measured
-	variation  time.Duration // RTTVAR
-	retransmit time.Duration // RTO
+type heartbeat struct {
+	sentAt      [8]time.Duration // of the last ones, by number
+	ackDeadline time.Duration    // of the acknowledgement; 0: none is awaited
+	missed      int
+	srtt        time.Duration // SRTT; 0: none was measured
+	rttvar      time.Duration // RTTVAR
+	rto         time.Duration // RTO
 }
 
 // The bounds of RTO. A peer may stand still for a second and more (a collection of garbage, a moved machine): with three
 // heartbeats the floor gives it three and a half.
 const (
-	firstRTO = time.Second
-	leastRTO = 500 * time.Millisecond
+	initialRTO = time.Second
+	minRTO     = 500 * time.Millisecond
 )
 
 // measured takes the time that an acknowledgement took.
-func (p *probe) measured(d time.Duration) {
-	if p.smoothed == 0 {
-		p.smoothed, p.variation = d, d/2
+func (p *heartbeat) updateRTO(roundTrip time.Duration) {
+	if p.srtt == 0 {
+		p.srtt, p.rttvar = roundTrip, roundTrip/2
 	} else {
-		p.variation += ((p.smoothed - d).Abs() - p.variation) / 4
-		p.smoothed += (d - p.smoothed) / 8
+		p.rttvar += ((p.srtt - roundTrip).Abs() - p.rttvar) / 4
+		p.srtt += (roundTrip - p.srtt) / 8
 	}
-	p.retransmit = max(leastRTO, p.smoothed+4*p.variation)
+	p.rto = max(minRTO, p.srtt+4*p.rttvar)
 }
 
 // NewASP makes the asking end, opened at now. id is the ASP identifier, context the routing context.
-func NewASP(t Timers, id, context uint32, now time.Duration) *ASP {
-	a := &ASP{t: t.withDefaults(), id: id, context: context, heard: now}
-	a.beatAt = now + a.t.Beat
-	a.request(ASPUP, now)
+func NewASP(timers Timers, id, context uint32, now time.Duration) *ASP {
+	a := &ASP{timers: timers.withDefaults(), id: id, context: context, lastReceived: now}
+	a.nextBeat = now + a.timers.Beat
+	a.sendRequest(ASPUP, now)
 	return a
 }
 
 // NewSGP makes the answering end, opened at now.
-func NewSGP(t Timers, now time.Duration) *ASP {
-	a := &ASP{t: t.withDefaults(), server: true, heard: now}
-	a.beatAt = now + a.t.Beat
+func NewSGP(timers Timers, now time.Duration) *ASP {
+	a := &ASP{timers: timers.withDefaults(), server: true, lastReceived: now}
+	a.nextBeat = now + a.timers.Beat
 	// A peer that opens a connection and never says ASPUP is given up like one that never answers.
-	a.want, a.tries, a.due = ASPUP, a.t.Tries, now+time.Duration(a.t.Tries)*a.t.Ack
+	a.awaited, a.unacked, a.ackDeadline = ASPUP, a.timers.Tries, now+time.Duration(a.timers.Tries)*a.timers.Ack
 	return a
 }
 
@@ -124,40 +124,40 @@
 func (a *ASP) State() State { return a.state }
 
 // Override tells, on the answering end, that the peer asked for traffic mode override (RFC 4666, 4.3.4.3).
-func (a *ASP) Override() bool { return a.traffic == TrafficOverride }
+func (a *ASP) Override() bool { return a.trafficMode == TrafficOverride }
 
 // ID is the ASP identifier, of the peer on the answering end.
 func (a *ASP) ID() uint32 { return a.id }
 
 func (a *ASP) send(m *Message) { a.Out = Append(a.Out, m) }
 
-func (a *ASP) request(k Kind, now time.Duration) {
-	m := Message{Kind: k}
-	switch k {
+func (a *ASP) sendRequest(request Kind, now time.Duration) {
+	m := Message{Kind: request}
+	switch request {
 	case ASPUP:
 		m.HasASPID, m.ASPID = true, a.id
-		a.want = ASPUPAck
+		a.awaited = ASPUPAck
 	case ASPAC:
-		m.Traffic, m.HasContext, m.Context = TrafficLoadshare, true, a.context
-		a.want = ASPACAck
+		m.TrafficMode, m.HasRoutingContext, m.RoutingContext = TrafficLoadshare, true, a.context
+		a.awaited = ASPACAck
 	}
 	a.send(&m)
-	a.due = now + a.t.Ack
+	a.ackDeadline = now + a.timers.Ack
 }
 
 // Handle takes one decoded message.
 func (a *ASP) Handle(now time.Duration, m *Message) Outcome {
-	a.Heard(now)
+	a.Received(now)
 	switch m.Kind {
 	case BEAT:
 		a.send(&Message{Kind: BEATAck, Heartbeat: m.Heartbeat})
 		return Nothing
 	case BEATAck:
 		if len(m.Heartbeat) == 8 { // its own number comes back, so that a repeated one is no riddle (Karn)
-			if n := binary.BigEndian.Uint64(m.Heartbeat); n > 0 && n <= a.beats && n+uint64(len(a.probe.sent)) > a.beats {
-				if sent := &a.probe.sent[n%uint64(len(a.probe.sent))]; *sent > 0 { // once for each
-					a.probe.measured(now - *sent)
-					*sent = 0
+			if number := binary.BigEndian.Uint64(m.Heartbeat); number > 0 && number <= a.beatCount && number+uint64(len(a.heartbeat.sentAt)) > a.beatCount {
+				if sentAt := &a.heartbeat.sentAt[number%uint64(len(a.heartbeat.sentAt))]; *sentAt > 0 { // once for each
+					a.heartbeat.updateRTO(now - *sentAt)
+					*sentAt = 0
 				}
 			}
 		}
@@ -166,7 +166,7 @@
 		return Nothing
 	case DATA, DUNA, DAVA, DAUD, SCON, DUPU, DRST:
 		if a.state != Active { // RFC 4666, 4.3.4.3: no traffic from an ASP that is not active
-			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpected})
+			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage})
 			return Nothing
 		}
 		return Deliver
@@ -174,53 +174,53 @@
 		return Deliver
 	}
 	if a.server {
-		return a.serve(now, m)
+		return a.handleServer(now, m)
 	}
 	switch {
-	case m.Kind == ASPUPAck && a.want == ASPUPAck:
-		a.state, a.tries = Inactive, 0
-		a.request(ASPAC, now)
-	case m.Kind == ASPACAck && a.want == ASPACAck:
-		a.state, a.want = Active, 0
+	case m.Kind == ASPUPAck && a.awaited == ASPUPAck:
+		a.state, a.unacked = Inactive, 0
+		a.sendRequest(ASPAC, now)
+	case m.Kind == ASPACAck && a.awaited == ASPACAck:
+		a.state, a.awaited = Active, 0
 		return Activated
 	case m.Kind == ASPDNAck && a.state != Down: // unasked: the peer takes the ASP down (RFC 4666, 4.3.4.2)
-		return a.drop(Broken)
+		return a.setDown(Failed)
 	case m.Kind == ASPIAAck && a.state == Active: // unasked: traffic is taken away
 		a.state = Inactive
-		a.want, a.tries, a.due = ASPACAck, 0, now+a.t.Ack
+		a.awaited, a.unacked, a.ackDeadline = ASPACAck, 0, now+a.timers.Ack
 		return Deactivated
 	}
 	return Nothing
 }
 
-func (a *ASP) serve(now time.Duration, m *Message) Outcome {
+func (a *ASP) handleServer(now time.Duration, m *Message) Outcome {
 	switch m.Kind {
 	case ASPUP:
 		if m.HasASPID {
 			a.id = m.ASPID
 		}
-		was := a.state
-		a.state, a.want = Inactive, ASPAC
-		a.due = now + time.Duration(a.t.Tries)*a.t.Ack
+		previous := a.state
+		a.state, a.awaited = Inactive, ASPAC
+		a.ackDeadline = now + time.Duration(a.timers.Tries)*a.timers.Ack
 		a.send(&Message{Kind: ASPUPAck})
-		if was == Active { // an ASPUP in state active: it has started anew (RFC 4666, 4.3.4.1)
-			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpected})
+		if previous == Active { // an ASPUP in state active: it has started anew (RFC 4666, 4.3.4.1)
+			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage})
 			return Deactivated
 		}
 		a.send(&Message{Kind: NTFY, StatusType: StatusASState, StatusInfo: InfoASInactive})
 	case ASPAC:
 		if a.state == Down {
-			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpected})
+			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage})
 			return Nothing
 		}
-		was := a.state
-		a.state, a.want, a.traffic = Active, 0, m.Traffic
-		a.send(&Message{Kind: ASPACAck, Traffic: m.Traffic, HasContext: m.HasContext, Context: m.Context})
-		if was != Active {
+		previous := a.state
+		a.state, a.awaited, a.trafficMode = Active, 0, m.TrafficMode
+		a.send(&Message{Kind: ASPACAck, TrafficMode: m.TrafficMode, HasRoutingContext: m.HasRoutingContext, RoutingContext: m.RoutingContext})
+		if previous != Active {
 			a.send(&Message{Kind: NTFY, StatusType: StatusASState, StatusInfo: InfoASActive})
 			return Activated
 		}
-		if m.Traffic == TrafficOverride { // another may have taken its place: it asks to have its traffic again
+		if m.TrafficMode == TrafficOverride { // another may have taken its place: it asks to have its traffic again
 			return Activated
 		}
 	case ASPIA:
@@ -231,83 +231,83 @@
 		}
 	case ASPDN:
 		a.send(&Message{Kind: ASPDNAck})
-		return a.drop(Broken)
+		return a.setDown(Failed)
 	default:
-		a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpected})
+		a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage})
 	}
 	return Nothing
 }
 
-func (a *ASP) drop(o Outcome) Outcome {
-	a.state, a.want = Down, 0
-	return o
+func (a *ASP) setDown(outcome Outcome) Outcome {
+	a.state, a.awaited = Down, 0
+	return outcome
 }
 
 // Next is the time at which Tick must be called at the latest.
-func (a *ASP) Next() time.Duration {
-	next := min(a.beatAt, a.heard+a.t.BeatLimit)
-	if a.want != 0 {
-		next = min(next, a.due)
+func (a *ASP) NextDeadline() time.Duration {
+	next := min(a.nextBeat, a.lastReceived+a.timers.BeatLimit)
+	if a.awaited != 0 {
+		next = min(next, a.ackDeadline)
 	}
-	if a.probe.due != 0 {
-		next = min(next, a.probe.due)
+	if a.heartbeat.ackDeadline != 0 {
+		next = min(next, a.heartbeat.ackDeadline)
 	}
 	return next
 }
 
 // Tick lets time pass: it repeats requests, sends heartbeats and gives up a silent peer.
 func (a *ASP) Tick(now time.Duration) Outcome {
-	if now >= a.heard+a.t.BeatLimit {
-		return a.drop(Broken)
+	if now >= a.lastReceived+a.timers.BeatLimit {
+		return a.setDown(Failed)
 	}
-	if a.want != 0 && now >= a.due {
-		if a.tries++; a.tries >= a.t.Tries {
-			return a.drop(Broken)
+	if a.awaited != 0 && now >= a.ackDeadline {
+		if a.unacked++; a.unacked >= a.timers.Tries {
+			return a.setDown(Failed)
 		}
-		if a.want == ASPUPAck {
-			a.request(ASPUP, now)
+		if a.awaited == ASPUPAck {
+			a.sendRequest(ASPUP, now)
 		} else {
-			a.request(ASPAC, now)
+			a.sendRequest(ASPAC, now)
 		}
 	}
-	if p := &a.probe; p.due != 0 && now >= p.due {
-		if p.missed++; p.missed >= a.t.Tries {
-			return a.drop(Broken)
+	if p := &a.heartbeat; p.ackDeadline != 0 && now >= p.ackDeadline {
+		if p.missed++; p.missed >= a.timers.Tries {
+			return a.setDown(Failed)
 		}
-		a.beat(now)
+		a.sendHeartbeat(now)
 	}
-	if now >= a.beatAt {
-		a.beat(now)
+	if now >= a.nextBeat {
+		a.sendHeartbeat(now)
 	}
 	return Nothing
 }
 
 // beat sends a heartbeat and awaits its acknowledgement.
-func (a *ASP) beat(now time.Duration) {
-	p := &a.probe
-	a.beats++
-	a.send(&Message{Kind: BEAT, Heartbeat: binary.BigEndian.AppendUint64(nil, a.beats)})
-	a.beatAt = now + a.t.Beat
-	p.sent[a.beats%uint64(len(p.sent))] = now
-	if p.retransmit == 0 {
-		p.retransmit = firstRTO
+func (a *ASP) sendHeartbeat(now time.Duration) {
+	p := &a.heartbeat
+	a.beatCount++
+	a.send(&Message{Kind: BEAT, Heartbeat: binary.BigEndian.AppendUint64(nil, a.beatCount)})
+	a.nextBeat = now + a.timers.Beat
+	p.sentAt[a.beatCount%uint64(len(p.sentAt))] = now
+	if p.rto == 0 {
+		p.rto = initialRTO
 	}
-	p.due = now + p.retransmit<<p.missed
+	p.ackDeadline = now + p.rto<<p.missed
 }
 
 // RoundTrip is the smoothed time that heartbeats take; 0: none was answered.
-func (a *ASP) RoundTrip() time.Duration { return a.probe.smoothed }
+func (a *ASP) RoundTrip() time.Duration { return a.heartbeat.srtt }
 
 // Close says that the association ends: ASPDN from the asking end.
 func (a *ASP) Close() {
 	if !a.server && a.state != Down {
 		a.send(&Message{Kind: ASPDN})
 	}
-	a.drop(Nothing)
+	a.setDown(Nothing)
 }
 
 // Heard notes that a message came that the owner deals with itself.
-func (a *ASP) Heard(now time.Duration) {
-	a.heard = now
-	a.probe.due, a.probe.missed = 0, 0 // whatever it was, the peer is there
+func (a *ASP) Received(now time.Duration) {
+	a.lastReceived = now
+	a.heartbeat.ackDeadline, a.heartbeat.missed = 0, 0 // whatever it was, the peer is there
 }
--- a/m3ua/heartbeat_test.go
+++ b/m3ua/heartbeat_test.go
@@ -7,7 +7,7 @@
 
 // watch plays a peer that answers heartbeats after a time until it dies, and returns how long after its death the
 // association was given up; 0: it was not, or before.
-func watch(t *testing.T, timers Timers, answer, dies, until time.Duration) (after time.Duration, beats int) {
+func runPeer(t *testing.T, timers Timers, answerDelay, failsAt, until time.Duration) (after time.Duration, heartbeats int) {
 	t.Helper()
 	type ack struct {
 		at time.Duration
@@ -19,7 +19,7 @@
 	a.Out = nil
 	var acks []ack
 	for now := time.Duration(0); now < until; {
-		next := a.Next()
+		next := a.NextDeadline()
 		if len(acks) > 0 && acks[0].at <= next {
 			now = acks[0].at
 			a.Handle(now, &acks[0].m)
@@ -27,65 +27,65 @@
 			continue
 		}
 		now = max(next, now)
-		if a.Tick(now) == Broken {
-			if now < dies {
-				t.Errorf("given up at %v, while its peer answers after %v", now, answer)
+		if a.Tick(now) == Failed {
+			if now < failsAt {
+				t.Errorf("given up at %v, while its peer answers after %v", now, answerDelay)
 			}
-			return now - dies, beats
+			return now - failsAt, heartbeats
 		}
-		for b := a.Out; len(b) > 0; {
-			n, _ := Length(b)
+		for rest := a.Out; len(rest) > 0; {
+			length, _ := Length(rest)
 			var m Message
-			if Decode(b[:n], &m) == nil && m.Kind == BEAT {
-				beats++
-				if now+answer < dies {
-					acks = append(acks, ack{now + answer, Message{Kind: BEATAck, Heartbeat: append([]byte(nil), m.Heartbeat...)}})
+			if Decode(rest[:length], &m) == nil && m.Kind == BEAT {
+				heartbeats++
+				if now+answerDelay < failsAt {
+					acks = append(acks, ack{now + answerDelay, Message{Kind: BEATAck, Heartbeat: append([]byte(nil), m.Heartbeat...)}})
 				}
 			}
-			b = b[n:]
+			rest = rest[length:]
 		}
 		a.Out = a.Out[:0]
 	}
-	return 0, beats
+	return 0, heartbeats
 }
 
 // A dead peer on a quick way is found before the limit; one whose answers take seconds is not given up while it answers, and
 // the limit ends both.
-func TestHeartbeatsAdapt(t *testing.T) {
+func TestHeartbeatTimeoutFollowsRoundTrip(t *testing.T) {
 	timers := Timers{Beat: 5 * time.Second, BeatLimit: 30 * time.Second, Tries: 3}
-	quick, n := watch(t, timers, 20*time.Millisecond, time.Minute, 10*time.Minute)
+	quick, heartbeats := runPeer(t, timers, 20*time.Millisecond, time.Minute, 10*time.Minute)
 	if quick <= 3*time.Second || quick > 9*time.Second {
 		t.Errorf("quick way: given up after %v", quick)
 	}
-	if n > 17 {
-		t.Errorf("%d heartbeats in a minute of five seconds each", n)
+	if heartbeats > 17 {
+		t.Errorf("%d heartbeats in a minute of five seconds each", heartbeats)
 	}
-	slow, _ := watch(t, timers, 4*time.Second, time.Minute, 10*time.Minute)
+	slow, _ := runPeer(t, timers, 4*time.Second, time.Minute, 10*time.Minute)
 	if slow < 10*time.Second || slow > 30*time.Second {
 		t.Errorf("slow way: given up after %v", slow)
 	}
-	if limit, _ := watch(t, Timers{Beat: time.Second, BeatLimit: 2 * time.Second, Tries: 3}, 10*time.Millisecond, time.Minute, 10*time.Minute); limit > 2*time.Second {
+	if limit, _ := runPeer(t, Timers{Beat: time.Second, BeatLimit: 2 * time.Second, Tries: 3}, 10*time.Millisecond, time.Minute, 10*time.Minute); limit > 2*time.Second {
 		t.Errorf("given up after %v, beyond the limit", limit)
 	}
-	if after, _ := watch(t, timers, 20*time.Millisecond, time.Hour, 10*time.Minute); after != 0 {
+	if after, _ := runPeer(t, timers, 20*time.Millisecond, time.Hour, 10*time.Minute); after != 0 {
 		t.Error("a peer that answers is given up")
 	}
 }
 
 // A stop of two seconds in the peer, with all its answers after it, does not end the association.
-func TestHeartbeatsOutliveAStop(t *testing.T) {
+func TestPeerStallOfTwoSecondsKeepsAssociation(t *testing.T) {
 	a := NewASP(Timers{Beat: 5 * time.Second, Tries: 3}, 1, 1, 0)
 	a.Handle(0, &Message{Kind: ASPUPAck})
 	a.Handle(0, &Message{Kind: ASPACAck})
 	for range 20 { // a quick way
-		now := a.Next()
+		now := a.NextDeadline()
 		a.Tick(now)
-		a.Handle(now+time.Millisecond, &Message{Kind: BEATAck, Heartbeat: []byte{0, 0, 0, 0, 0, 0, 0, byte(a.beats)}})
+		a.Handle(now+time.Millisecond, &Message{Kind: BEATAck, Heartbeat: []byte{0, 0, 0, 0, 0, 0, 0, byte(a.beatCount)}})
 	}
-	now := a.Next()
-	for stop := now + 2*time.Second; now < stop; now = a.Next() {
-		if a.Tick(now) == Broken {
-			t.Fatalf("given up %v into the stop", now-(stop-2*time.Second))
+	now := a.NextDeadline()
+	for stallEnd := now + 2*time.Second; now < stallEnd; now = a.NextDeadline() {
+		if a.Tick(now) == Failed {
+			t.Fatalf("given up %v into the stop", now-(stallEnd-2*time.Second))
 		}
 	}
 	if a.RoundTrip() != time.Millisecond {
--- a/m3ua/m3ua.go
+++ b/m3ua/m3ua.go
@@ -62,45 +62,45 @@
 
 // Parameter tags (RFC 4666, 3.2).
 const (
-	tagInfo        = 0x0004
-	tagContext     = 0x0006
-	tagDiagnostic  = 0x0007
-	tagHeartbeat   = 0x0009
-	tagTrafficMode = 0x000b
-	tagError       = 0x000c
-	tagStatus      = 0x000d
-	tagASPID       = 0x0011
-	tagAffected    = 0x0012
-	tagCorrelation = 0x0013
-	tagAppearance  = 0x0200
-	tagUserCause   = 0x0204
-	tagCongestion  = 0x0205
-	tagConcerned   = 0x0206
-	tagData        = 0x0210
+	tagInfoString            = 0x0004
+	tagRoutingContext        = 0x0006
+	tagDiagnosticInformation = 0x0007
+	tagHeartbeatData         = 0x0009
+	tagTrafficModeType       = 0x000b
+	tagErrorCode             = 0x000c
+	tagStatus                = 0x000d
+	tagASPIdentifier         = 0x0011
+	tagAffectedPointCode     = 0x0012
+	tagCorrelationID         = 0x0013
+	tagNetworkAppearance     = 0x0200
+	tagUserCause             = 0x0204
+	tagCongestionIndications = 0x0205
+	tagConcernedDestination  = 0x0206
+	tagProtocolData          = 0x0210
 )
 
 // Error codes of ERR (RFC 4666, 3.8.1).
 const (
-	ErrInvalidVersion        = 0x01
-	ErrUnsupportedClass      = 0x03
-	ErrUnsupportedType       = 0x04
-	ErrUnexpected            = 0x06
-	ErrProtocol              = 0x07
-	ErrRefused               = 0x0d
-	ErrInvalidParameter      = 0x11
-	ErrParameterField        = 0x12
-	ErrMissingParameter      = 0x16
-	ErrInvalidContext        = 0x19
-	StatusASState            = 1 // NTFY status types and information (RFC 4666, 3.8.2)
-	StatusOther              = 2
-	InfoASInactive           = 2
-	InfoASActive             = 3
-	InfoASPending            = 4
-	InfoAlternateASP         = 2 // of StatusOther
-	TrafficOverride          = 1 // traffic mode types (RFC 4666, 3.7.1)
-	TrafficLoadshare         = 2
-	TrafficBroadcast         = 3
-	ServiceISUP         byte = 5 // service indicator of ISUP (Q.704, 14.2.1)
+	ErrInvalidVersion                 = 0x01
+	ErrUnsupportedMessageClass        = 0x03
+	ErrUnsupportedMessageType         = 0x04
+	ErrUnexpectedMessage              = 0x06
+	ErrProtocol                       = 0x07
+	ErrRefusedManagementBlocking      = 0x0d
+	ErrInvalidParameterValue          = 0x11
+	ErrParameterFieldError            = 0x12
+	ErrMissingParameter               = 0x16
+	ErrInvalidRoutingContext          = 0x19
+	StatusASState                     = 1 // NTFY status types and information (RFC 4666, 3.8.2)
+	StatusOther                       = 2
+	InfoASInactive                    = 2
+	InfoASActive                      = 3
+	InfoASPending                     = 4
+	InfoAlternateASP                  = 2 // of StatusOther
+	TrafficOverride                   = 1 // traffic mode types (RFC 4666, 3.7.1)
+	TrafficLoadshare                  = 2
+	TrafficBroadcast                  = 3
+	ServiceISUP                  byte = 5 // service indicator of ISUP (Q.704, 14.2.1)
 )
 
 // ProtocolData is the content of the Protocol Data parameter (RFC 4666, 3.3.1): a routing label and user data.
@@ -122,30 +122,30 @@
 // Message is one message of any kind; only the fields of its kind count. After Decode all slices lie within the frame
 // and live as long as that.
 type Message struct {
-	Kind       Kind
-	HasContext bool
-	Context    uint32 // first routing context
-	Data       ProtocolData
-	Affected   []Affected
-	Congestion byte // level 0 to 3 of SCON (RFC 4666, 3.4.4)
-	HasASPID   bool
-	ASPID      uint32
-	Traffic    uint32 // traffic mode; 0: not given
-	ErrorCode  uint32
-	StatusType uint16
-	StatusInfo uint16
-	Heartbeat  []byte // opaque, returned in BEAT ACK (RFC 4666, 3.5.6)
-	Info       []byte
+	Kind              Kind
+	HasRoutingContext bool
+	RoutingContext    uint32 // first routing context
+	Data              ProtocolData
+	Affected          []Affected
+	CongestionLevel   byte // level 0 to 3 of SCON (RFC 4666, 3.4.4)
+	HasASPID          bool
+	ASPID             uint32
+	TrafficMode       uint32 // traffic mode; 0: not given
+	ErrorCode         uint32
+	StatusType        uint16
+	StatusInfo        uint16
+	Heartbeat         []byte // opaque, returned in BEAT ACK (RFC 4666, 3.5.6)
+	InfoString        []byte
 }
 
 // Error tells why a frame is malformed, and with which code an ERR answers it.
 type Error struct {
 	Code   uint32 // error code of ERR
 	Offset int    // octet in the frame
-	What   string
+	Reason string
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("m3ua: octet %d: %s", e.Offset, e.What) }
+func (e *Error) Error() string { return fmt.Sprintf("m3ua: octet %d: %s", e.Offset, e.Reason) }
 
 // ErrTooLong is returned by Length for a frame beyond MaxFrame, whose end cannot be found again.
 var ErrTooLong = errors.New("m3ua: message length beyond the bound")
@@ -153,14 +153,14 @@
 // Length reads the length of the whole frame from its first HeaderLen octets. An error means that the stream cannot be
 // framed any longer: the length lies below the header or beyond MaxFrame.
 func Length(header []byte) (int, error) {
-	n := binary.BigEndian.Uint32(header[4:8])
-	if n > MaxFrame {
+	length := binary.BigEndian.Uint32(header[4:8])
+	if length > MaxFrame {
 		return 0, ErrTooLong
 	}
-	if n < HeaderLen {
-		return 0, &Error{ErrProtocol, 4, fmt.Sprintf("message length %d below that of the header", n)}
+	if length < HeaderLen {
+		return 0, &Error{ErrProtocol, 4, fmt.Sprintf("message length %d below that of the header", length)}
 	}
-	return int(n), nil
+	return int(length), nil
 }
 
 // Decode reads one whole frame into m, whose slices are reused. Parameters that a kind does not have are skipped
@@ -174,37 +174,37 @@
 	if frame[0] != Version {
 		return &Error{ErrInvalidVersion, 0, fmt.Sprintf("version %d", frame[0])}
 	}
-	if n, err := Length(frame); err != nil || n != len(frame) {
+	if length, err := Length(frame); err != nil || length != len(frame) {
 		return &Error{ErrProtocol, 4, "the message length is not that of the frame"}
 	}
 	m.Kind = Kind(frame[2])<<8 | Kind(frame[3])
 	if _, known := kindNames[m.Kind]; !known {
-		code := uint32(ErrUnsupportedType)
-		if c := frame[2]; c > 4 {
-			code = ErrUnsupportedClass
+		code := uint32(ErrUnsupportedMessageType)
+		if class := frame[2]; class > 4 {
+			code = ErrUnsupportedMessageClass
 		}
 		return &Error{code, 2, m.Kind.String()}
 	}
-	seenData := false
-	for at := HeaderLen; at < len(frame); {
-		if len(frame)-at < 4 {
-			return &Error{ErrParameterField, at, "a parameter shorter than its header"}
+	hasProtocolData := false
+	for offset := HeaderLen; offset < len(frame); {
+		if len(frame)-offset < 4 {
+			return &Error{ErrParameterFieldError, offset, "a parameter shorter than its header"}
 		}
-		tag := binary.BigEndian.Uint16(frame[at:])
-		n := int(binary.BigEndian.Uint16(frame[at+2:]))
-		if n < 4 || n > len(frame)-at {
-			return &Error{ErrParameterField, at + 2, fmt.Sprintf("parameter %#04x of length %d", tag, n)}
+		tag := binary.BigEndian.Uint16(frame[offset:])
+		length := int(binary.BigEndian.Uint16(frame[offset+2:]))
+		if length < 4 || length > len(frame)-offset {
+			return &Error{ErrParameterFieldError, offset + 2, fmt.Sprintf("parameter %#04x of length %d", tag, length)}
 		}
-		v := frame[at+4 : at+n : at+n]
-		if err := m.param(tag, v, at); err != nil {
+		value := frame[offset+4 : offset+length : offset+length]
+		if err := m.decodeParameter(tag, value, offset); err != nil {
 			return err
 		}
-		seenData = seenData || tag == tagData
-		at += (n + 3) &^ 3 // the padding of the last parameter may be missing
+		hasProtocolData = hasProtocolData || tag == tagProtocolData
+		offset += (length + 3) &^ 3 // the padding of the last parameter may be missing
 	}
 	switch m.Kind {
 	case DATA:
-		if !seenData {
+		if !hasProtocolData {
 			return &Error{ErrMissingParameter, HeaderLen, "DATA without Protocol Data"}
 		}
 	case DUNA, DAVA, DAUD, SCON, DRST:
@@ -215,50 +215,50 @@
 	return nil
 }
 
-func (m *Message) param(tag uint16, v []byte, at int) error {
+func (m *Message) decodeParameter(tag uint16, value []byte, offset int) error {
 	word := func() (uint32, error) {
-		if len(v) < 4 {
-			return 0, &Error{ErrParameterField, at, fmt.Sprintf("parameter %#04x has %d octets", tag, len(v))}
+		if len(value) < 4 {
+			return 0, &Error{ErrParameterFieldError, offset, fmt.Sprintf("parameter %#04x has %d octets", tag, len(value))}
 		}
-		return binary.BigEndian.Uint32(v), nil
+		return binary.BigEndian.Uint32(value), nil
 	}
 	var err error
 	switch tag {
-	case tagContext:
-		m.HasContext = true
-		m.Context, err = word()
-	case tagTrafficMode:
-		m.Traffic, err = word()
-	case tagASPID:
+	case tagRoutingContext:
+		m.HasRoutingContext = true
+		m.RoutingContext, err = word()
+	case tagTrafficModeType:
+		m.TrafficMode, err = word()
+	case tagASPIdentifier:
 		m.HasASPID = true
 		m.ASPID, err = word()
-	case tagError:
+	case tagErrorCode:
 		m.ErrorCode, err = word()
-	case tagCongestion:
+	case tagCongestionIndications:
 		var w uint32
 		w, err = word()
-		m.Congestion = byte(w & 3)
+		m.CongestionLevel = byte(w & 3)
 	case tagStatus:
 		var w uint32
 		w, err = word()
 		m.StatusType, m.StatusInfo = uint16(w>>16), uint16(w)
-	case tagHeartbeat:
-		m.Heartbeat = v
-	case tagInfo:
-		m.Info = v
-	case tagAffected:
-		if len(v)%4 != 0 {
-			return &Error{ErrParameterField, at, "affected point codes of odd length"}
+	case tagHeartbeatData:
+		m.Heartbeat = value
+	case tagInfoString:
+		m.InfoString = value
+	case tagAffectedPointCode:
+		if len(value)%4 != 0 {
+			return &Error{ErrParameterFieldError, offset, "affected point codes of odd length"}
 		}
-		for ; len(v) > 0; v = v[4:] {
-			w := binary.BigEndian.Uint32(v)
+		for ; len(value) > 0; value = value[4:] {
+			w := binary.BigEndian.Uint32(value)
 			m.Affected = append(m.Affected, Affected{byte(w >> 24), w & 0xffffff})
 		}
-	case tagData:
-		if len(v) < 12 {
-			return &Error{ErrParameterField, at, "Protocol Data shorter than its routing label"}
+	case tagProtocolData:
+		if len(value) < 12 {
+			return &Error{ErrParameterFieldError, offset, "Protocol Data shorter than its routing label"}
 		}
-		m.Data = ProtocolData{binary.BigEndian.Uint32(v), binary.BigEndian.Uint32(v[4:]), v[8], v[9], v[10], v[11], v[12:]}
+		m.Data = ProtocolData{binary.BigEndian.Uint32(value), binary.BigEndian.Uint32(value[4:]), value[8], value[9], value[10], value[11], value[12:]}
 	}
 	return err
 }
@@ -268,62 +268,62 @@
 	start := len(dst)
 	dst = append(dst, Version, 0, byte(m.Kind>>8), byte(m.Kind), 0, 0, 0, 0)
 	if m.Kind == ERR {
-		dst = appendWord(dst, tagError, m.ErrorCode)
+		dst = appendWord(dst, tagErrorCode, m.ErrorCode)
 	}
 	if m.Kind == NTFY {
 		dst = appendWord(dst, tagStatus, uint32(m.StatusType)<<16|uint32(m.StatusInfo))
 	}
 	if m.HasASPID {
-		dst = appendWord(dst, tagASPID, m.ASPID)
+		dst = appendWord(dst, tagASPIdentifier, m.ASPID)
 	}
-	if m.Traffic != 0 {
-		dst = appendWord(dst, tagTrafficMode, m.Traffic)
+	if m.TrafficMode != 0 {
+		dst = appendWord(dst, tagTrafficModeType, m.TrafficMode)
 	}
-	if m.HasContext {
-		dst = appendWord(dst, tagContext, m.Context)
+	if m.HasRoutingContext {
+		dst = appendWord(dst, tagRoutingContext, m.RoutingContext)
 	}
 	if len(m.Affected) > 0 {
-		dst = append(dst, tagAffected>>8, tagAffected&0xff, 0, 0)
+		dst = append(dst, tagAffectedPointCode>>8, tagAffectedPointCode&0xff, 0, 0)
 		binary.BigEndian.PutUint16(dst[len(dst)-2:], uint16(4+4*len(m.Affected)))
 		for _, a := range m.Affected {
 			dst = binary.BigEndian.AppendUint32(dst, uint32(a.Mask)<<24|a.PC&0xffffff)
 		}
 	}
 	if m.Kind == SCON {
-		dst = appendWord(dst, tagCongestion, uint32(m.Congestion))
+		dst = appendWord(dst, tagCongestionIndications, uint32(m.CongestionLevel))
 	}
 	if len(m.Heartbeat) > 0 {
-		dst = appendTLV(dst, tagHeartbeat, m.Heartbeat)
+		dst = appendTLV(dst, tagHeartbeatData, m.Heartbeat)
 	}
-	if len(m.Info) > 0 {
-		dst = appendTLV(dst, tagInfo, m.Info)
+	if len(m.InfoString) > 0 {
+		dst = appendTLV(dst, tagInfoString, m.InfoString)
 	}
 	if m.Kind == DATA {
-		d := &m.Data
-		dst = append(dst, tagData>>8, tagData&0xff, 0, 0)
-		binary.BigEndian.PutUint16(dst[len(dst)-2:], uint16(16+len(d.User)))
-		dst = binary.BigEndian.AppendUint32(dst, d.OPC)
-		dst = binary.BigEndian.AppendUint32(dst, d.DPC)
-		dst = append(dst, d.SI, d.NI, d.MP, d.SLS)
-		dst = pad(append(dst, d.User...), len(d.User))
+		data := &m.Data
+		dst = append(dst, tagProtocolData>>8, tagProtocolData&0xff, 0, 0)
+		binary.BigEndian.PutUint16(dst[len(dst)-2:], uint16(16+len(data.User)))
+		dst = binary.BigEndian.AppendUint32(dst, data.OPC)
+		dst = binary.BigEndian.AppendUint32(dst, data.DPC)
+		dst = append(dst, data.SI, data.NI, data.MP, data.SLS)
+		dst = pad(append(dst, data.User...), len(data.User))
 	}
 	binary.BigEndian.PutUint32(dst[start+4:], uint32(len(dst)-start))
 	return dst
 }
 
-func appendWord(dst []byte, tag uint16, v uint32) []byte {
+func appendWord(dst []byte, tag uint16, value uint32) []byte {
 	dst = append(dst, byte(tag>>8), byte(tag), 0, 8)
-	return binary.BigEndian.AppendUint32(dst, v)
+	return binary.BigEndian.AppendUint32(dst, value)
 }
 
-func appendTLV(dst []byte, tag uint16, v []byte) []byte {
-	dst = append(dst, byte(tag>>8), byte(tag), byte((len(v)+4)>>8), byte(len(v)+4))
-	return pad(append(dst, v...), len(v))
+func appendTLV(dst []byte, tag uint16, value []byte) []byte {
+	dst = append(dst, byte(tag>>8), byte(tag), byte((len(value)+4)>>8), byte(len(value)+4))
+	return pad(append(dst, value...), len(value))
 }
 
 // pad fills up to a multiple of four octets (RFC 4666, 3.2).
-func pad(dst []byte, n int) []byte {
-	for ; n%4 != 0; n++ {
+func pad(dst []byte, length int) []byte {
+	for ; length%4 != 0; length++ {
 		dst = append(dst, 0)
 	}
 	return dst
--- a/m3ua/m3ua_test.go
+++ b/m3ua/m3ua_test.go
@@ -22,27 +22,27 @@
 }
 
 // The layouts of RFC 4666, 3.3 to 3.8, written out octet by octet.
-var frames = []struct {
+var sampleFrames = []struct {
 	name string
 	hex  string
 	msg  Message
 }{
 	{"DATA", "01000101" + "00000028" + "00060008" + "00000007" + "02100015" + "00000102" + "00000203" + "05020009" + "0102030405" + "000000",
-		Message{Kind: DATA, HasContext: true, Context: 7, Data: ProtocolData{OPC: 0x102, DPC: 0x203, SI: 5, NI: 2, SLS: 9, User: []byte{1, 2, 3, 4, 5}}}},
+		Message{Kind: DATA, HasRoutingContext: true, RoutingContext: 7, Data: ProtocolData{OPC: 0x102, DPC: 0x203, SI: 5, NI: 2, SLS: 9, User: []byte{1, 2, 3, 4, 5}}}},
 	{"DUNA", "01000201" + "00000014" + "0012000c" + "00000102" + "03000200",
 		Message{Kind: DUNA, Affected: []Affected{{0, 0x102}, {3, 0x200}}}},
 	{"SCON", "01000204" + "00000018" + "00120008" + "00000005" + "02050008" + "00000002",
-		Message{Kind: SCON, Affected: []Affected{{0, 5}}, Congestion: 2}},
+		Message{Kind: SCON, Affected: []Affected{{0, 5}}, CongestionLevel: 2}},
 	{"ASPUP", "01000301" + "00000010" + "00110008" + "0000002a", Message{Kind: ASPUP, HasASPID: true, ASPID: 42}},
 	{"BEAT", "01000303" + "00000010" + "00090006" + "abcd0000", Message{Kind: BEAT, Heartbeat: []byte{0xab, 0xcd}}},
 	{"ASPAC", "01000401" + "00000018" + "000b0008" + "00000002" + "00060008" + "00000001",
-		Message{Kind: ASPAC, Traffic: TrafficLoadshare, HasContext: true, Context: 1}},
+		Message{Kind: ASPAC, TrafficMode: TrafficLoadshare, HasRoutingContext: true, RoutingContext: 1}},
 	{"NTFY", "01000001" + "00000010" + "000d0008" + "00010003", Message{Kind: NTFY, StatusType: 1, StatusInfo: 3}},
-	{"ERR", "01000000" + "00000010" + "000c0008" + "00000006", Message{Kind: ERR, ErrorCode: ErrUnexpected}},
+	{"ERR", "01000000" + "00000010" + "000c0008" + "00000006", Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage}},
 }
 
-func TestLayouts(t *testing.T) {
-	for _, f := range frames {
+func TestCodecMatchesRFCLayouts(t *testing.T) {
+	for _, f := range sampleFrames {
 		b := unhex(t, f.hex)
 		if f.name == "DATA" { // its own length: 8 + 8 + 24
 			binary.BigEndian.PutUint32(b[4:], uint32(len(b)))
@@ -64,19 +64,19 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedFrameGivesErrorCode(t *testing.T) {
 	for name, c := range map[string]struct {
 		hex  string
 		code uint32
 	}{
 		"version":            {"02000303" + "00000008", ErrInvalidVersion},
-		"class":              {"01000903" + "00000008", ErrUnsupportedClass},
-		"type":               {"01000309" + "00000008", ErrUnsupportedType},
+		"class":              {"01000903" + "00000008", ErrUnsupportedMessageClass},
+		"type":               {"01000309" + "00000008", ErrUnsupportedMessageType},
 		"length lies":        {"01000303" + "0000000c", ErrProtocol},
-		"parameter too long": {"01000303" + "00000010" + "000900ff" + "00000000", ErrParameterField},
-		"parameter of 3":     {"01000303" + "00000010" + "00090003" + "00000000", ErrParameterField},
+		"parameter too long": {"01000303" + "00000010" + "000900ff" + "00000000", ErrParameterFieldError},
+		"parameter of 3":     {"01000303" + "00000010" + "00090003" + "00000000", ErrParameterFieldError},
 		"no data":            {"01000101" + "00000008", ErrMissingParameter},
-		"short label":        {"01000101" + "00000010" + "02100008" + "00000000", ErrParameterField},
+		"short label":        {"01000101" + "00000010" + "02100008" + "00000000", ErrParameterFieldError},
 		"DUNA of nothing":    {"01000201" + "00000008", ErrMissingParameter},
 	} {
 		var m Message
@@ -89,9 +89,9 @@
 }
 
 // A frame split over reads of one octet, many frames in one read, and a length field that lies.
-func TestScanner(t *testing.T) {
+func TestScannerFramesAnyReadSizes(t *testing.T) {
 	var stream []byte
-	for _, f := range frames[1:] {
+	for _, f := range sampleFrames[1:] {
 		stream = append(stream, unhex(t, f.hex)...)
 	}
 	for name, r := range map[string]io.Reader{
@@ -100,7 +100,7 @@
 		"halves":   iotest.HalfReader(bytes.NewReader(stream)),
 	} {
 		s := NewScanner(r)
-		for i, f := range frames[1:] {
+		for i, f := range sampleFrames[1:] {
 			got, err := s.Next()
 			if err != nil || !bytes.Equal(got, unhex(t, f.hex)) {
 				t.Fatalf("%s: frame %d is %x, %v", name, i, got, err)
@@ -125,7 +125,7 @@
 }
 
 // A long stream crosses the end of the scanner's buffer at every offset.
-func TestScannerWraps(t *testing.T) {
+func TestScannerCompactsBuffer(t *testing.T) {
 	var stream []byte
 	for i := range 5000 {
 		stream = Append(stream, &Message{Kind: BEAT, Heartbeat: make([]byte, i%97+1)})
@@ -144,7 +144,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, x := range frames {
+	for _, x := range sampleFrames {
 		f.Add(unhex(f, x.hex))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -180,14 +180,14 @@
 }
 
 // pair joins an ASP and an SGP and carries their frames at once.
-type pair struct {
+type linkedPair struct {
 	t        *testing.T
 	asp, sgp *ASP
 	now      time.Duration
-	got      []Outcome // of the ASP
+	outcomes []Outcome // of the ASP
 }
 
-func (p *pair) carry() {
+func (p *linkedPair) exchangeFrames() {
 	p.t.Helper()
 	for len(p.asp.Out)+len(p.sgp.Out) > 0 {
 		for _, from := range []*ASP{p.asp, p.sgp} {
@@ -208,39 +208,39 @@
 					p.t.Fatal(err)
 				}
 				if o := to.Handle(p.now, &m); to == p.asp && o != Nothing {
-					p.got = append(p.got, o)
+					p.outcomes = append(p.outcomes, o)
 				}
 			}
 		}
 	}
 }
 
-func TestAssociationComesUpAndDown(t *testing.T) {
-	p := &pair{t: t, asp: NewASP(Timers{}, 7, 1, 0), sgp: NewSGP(Timers{}, 0)}
-	p.carry()
+func TestAssociationActivatesStaysActiveAndCloses(t *testing.T) {
+	p := &linkedPair{t: t, asp: NewASP(Timers{}, 7, 1, 0), sgp: NewSGP(Timers{}, 0)}
+	p.exchangeFrames()
 	if p.asp.State() != Active || p.sgp.State() != Active || p.sgp.ID() != 7 {
 		t.Fatalf("asp %v, sgp %v with id %d", p.asp.State(), p.sgp.State(), p.sgp.ID())
 	}
 	for range 100 { // heartbeats keep it up
-		p.now = min(p.asp.Next(), p.sgp.Next())
+		p.now = min(p.asp.NextDeadline(), p.sgp.NextDeadline())
 		if p.asp.Tick(p.now) != Nothing || p.sgp.Tick(p.now) != Nothing {
 			t.Fatalf("broke at %v", p.now)
 		}
-		p.carry()
+		p.exchangeFrames()
 	}
 	p.asp.Close()
-	p.carry()
+	p.exchangeFrames()
 	if p.sgp.State() != Down {
 		t.Error("ASPDN leaves the other end up")
 	}
 }
 
 // A peer that accepts the connection and never answers ASPUP is given up.
-func TestSilentPeers(t *testing.T) {
+func TestPeerWithoutRequestOrAckFails(t *testing.T) {
 	for name, a := range map[string]*ASP{"asp": NewASP(Timers{Beat: time.Hour}, 1, 1, 0), "sgp": NewSGP(Timers{Beat: time.Hour}, 0)} {
 		var now time.Duration
-		for a.Tick(now) != Broken {
-			next := a.Next()
+		for a.Tick(now) != Failed {
+			next := a.NextDeadline()
 			if next <= now {
 				t.Fatalf("%s: no progress at %v", name, now)
 			}
@@ -252,22 +252,22 @@
 }
 
 // A peer that falls silent in mid-life is given up after the limit, and not before.
-func TestHeartbeatLimit(t *testing.T) {
-	p := &pair{t: t, asp: NewASP(Timers{Beat: time.Second}, 1, 1, 0), sgp: NewSGP(Timers{}, 0)}
-	p.carry()
+func TestBeatLimitFailsSilentPeer(t *testing.T) {
+	p := &linkedPair{t: t, asp: NewASP(Timers{Beat: time.Second}, 1, 1, 0), sgp: NewSGP(Timers{}, 0)}
+	p.exchangeFrames()
 	for p.now = 0; p.now < 1900*time.Millisecond; p.now += 100 * time.Millisecond {
 		if p.asp.Tick(p.now) != Nothing {
 			t.Fatal("given up too soon")
 		}
 	}
 	p.now = 2 * time.Second
-	if p.asp.Tick(p.now) != Broken {
+	if p.asp.Tick(p.now) != Failed {
 		t.Error("a peer silent for twice the beat is kept")
 	}
 }
 
 // Before it is active nothing of traffic is delivered, and a second ASPUP of an active ASP stops traffic.
-func TestUnexpected(t *testing.T) {
+func TestServerRefusesTrafficOutsideActiveState(t *testing.T) {
 	g := NewSGP(Timers{}, 0)
 	if o := g.Handle(0, &Message{Kind: DATA}); o != Nothing || len(g.Out) == 0 {
 		t.Errorf("DATA of an ASP that is down: %v", o)
@@ -282,19 +282,19 @@
 }
 
 // plainDecode is the decoder that would be written first: parameters in a map, each value copied.
-func plainDecode(frame []byte) (map[uint16][]byte, ProtocolData) {
+func referenceDecode(frame []byte) (map[uint16][]byte, ProtocolData) {
 	params := map[uint16][]byte{}
 	for at := HeaderLen; at+4 <= len(frame); {
 		n := int(binary.BigEndian.Uint16(frame[at+2:]))
 		params[binary.BigEndian.Uint16(frame[at:])] = append([]byte(nil), frame[at+4:at+n]...)
 		at += (n + 3) &^ 3
 	}
-	v := params[tagData]
+	v := params[tagProtocolData]
 	return params, ProtocolData{binary.BigEndian.Uint32(v), binary.BigEndian.Uint32(v[4:]), v[8], v[9], v[10], v[11], v[12:]}
 }
 
 func BenchmarkDecode(b *testing.B) {
-	frame := Append(nil, &Message{Kind: DATA, HasContext: true, Context: 1, Data: ProtocolData{OPC: 1, DPC: 2, SI: 5, User: make([]byte, 50)}})
+	frame := Append(nil, &Message{Kind: DATA, HasRoutingContext: true, RoutingContext: 1, Data: ProtocolData{OPC: 1, DPC: 2, SI: 5, User: make([]byte, 50)}})
 	b.Run("here", func(b *testing.B) {
 		b.ReportAllocs()
 		var m Message
@@ -307,13 +307,13 @@
 	b.Run("plain", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			plainDecode(frame)
+			referenceDecode(frame)
 		}
 	})
 }
 
 func BenchmarkAppend(b *testing.B) {
-	m := Message{Kind: DATA, HasContext: true, Context: 1, Data: ProtocolData{OPC: 1, DPC: 2, SI: 5, User: make([]byte, 50)}}
+	m := Message{Kind: DATA, HasRoutingContext: true, RoutingContext: 1, Data: ProtocolData{OPC: 1, DPC: 2, SI: 5, User: make([]byte, 50)}}
 	buf := make([]byte, 0, 256)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/trunk/trunk.go
+++ b/trunk/trunk.go
@@ -713,7 +713,7 @@
 			g.reset(w.CIC)
 			return
 		}
-		g.toFarREL(w.CIC, isup.CauseTimer)
+		g.toFarREL(w.CIC, isup.CauseTimerExpiry)
 		g.alarm(g.t.T1, w.CIC, wakeRelease)
 	case w.Kind == wakeReset && c.state == Resetting:
 		g.toFar(isup.RSC, w.CIC)
