--- a/daemon/connect.go
+++ b/daemon/connect.go
@@ -29,7 +29,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l.peer.Name = fmt.Sprint(asp)
-	i := slices.IndexFunc(p.cfg.Clients, func(c config.Client) bool { return c.Has(asp) })
+	i := slices.IndexFunc(p.cfg.Clients, func(c config.Client) bool { return c.HasASP(asp) })
 	if i < 0 {
 		return len(p.cfg.Clients) == 0
 	}
@@ -96,7 +96,7 @@
 // accept takes clients.
 func (d *Daemon) accept(ctx context.Context) {
 	// A storm of connections is spread by those who are turned away and try again.
-	handshakes := rate.NewLimiter(rate.Limit(d.cfg.Limits.Handshakes), max(1, int(d.cfg.Limits.Handshakes)))
+	handshakes := rate.NewLimiter(rate.Limit(d.cfg.Limits.HandshakeRate), max(1, int(d.cfg.Limits.HandshakeRate)))
 	taskgroup.Accept(ctx, d.listener, func(err error) { d.log.Error().Err(err).Msg("accept") }, func(conn net.Conn) {
 		if int(d.clients.Add(1)) > d.cfg.Limits.Clients || !handshakes.Allow() {
 			d.clients.Add(-1)
--- a/emulator/switchset/switchset.go
+++ b/emulator/switchset/switchset.go
@@ -108,7 +108,7 @@
 		key := fmt.Sprintf("ringing[%d]", i)
 		v.Must(r.Category >= 0 && r.Category < 256, key+".category", "%d is no calling party's category", r.Category)
 		if err := r.Check(); err != nil {
-			v.Fail(key, "%v", err)
+			v.Errorf(key, "%v", err)
 		}
 	}
 	return &c, v.Err()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -111,11 +111,11 @@
 var TrafficModes = map[string]uint32{"override": m3ua.TrafficOverride, "loadshare": m3ua.TrafficLoadshare, "broadcast": m3ua.TrafficBroadcast}
 
 // Has tells whether an ASP identifier is this client's.
-func (c *Client) Has(asp uint32) bool {
+func (c *Client) HasASP(id uint32) bool {
 	if len(c.Associations) > 0 {
-		return slices.Contains(c.Associations, asp)
+		return slices.Contains(c.Associations, id)
 	}
-	return c.ASP == asp
+	return c.ASP == id
 }
 
 // Exchange is one exchange of the network, the own one among them.
@@ -157,13 +157,13 @@
 
 // Limits bound what the daemon holds.
 type Limits struct {
-	Calls      int             `yaml:"calls"`
-	Clients    int             `yaml:"clients"`
-	Events     int             `yaml:"events"`
-	Handshakes float64         `yaml:"handshakes"` // new connections a second
-	Client     AdmissionLimits `yaml:"client"`     // of each client
-	Tenant     AdmissionLimits `yaml:"tenant"`     // of each tenant
-	All        AdmissionLimits `yaml:"all"`        // of all clients together, shared fairly
+	Calls         int             `yaml:"calls"`
+	Clients       int             `yaml:"clients"`
+	Events        int             `yaml:"events"`
+	HandshakeRate float64         `yaml:"handshakes"` // new connections a second
+	Client        AdmissionLimits `yaml:"client"`     // of each client
+	Tenant        AdmissionLimits `yaml:"tenant"`     // of each tenant
+	All           AdmissionLimits `yaml:"all"`        // of all clients together, shared fairly
 }
 
 // AdmissionLimits limits set-ups. Zero: no limit.
@@ -173,8 +173,8 @@
 	Open  int     `yaml:"open"`
 }
 
-func (d AdmissionLimits) limits() admission.Limits {
-	return admission.Limits{Rate: d.Rate, Burst: d.Burst, Open: d.Open}
+func (l AdmissionLimits) limits() admission.Limits {
+	return admission.Limits{Rate: l.Rate, Burst: l.Burst, Open: l.Open}
 }
 
 // Default has the values of keys that a file may leave out.
@@ -186,101 +186,101 @@
 		Timers:    Timers{15 * time.Second, 5 * time.Minute, 20 * time.Second, 90 * time.Second, 15 * time.Second, 10 * time.Second, 10 * time.Second},
 		Association: Association{2 * time.Second, 3, 5 * time.Second, 10 * time.Second, 2 * time.Second, 5 * time.Second,
 			100 * time.Millisecond, 5 * time.Second, 1 << 20, 2 * time.Second, 256 << 10},
-		Limits: Limits{Calls: 100_000, Clients: 1000, Events: 4096, Handshakes: 200},
+		Limits: Limits{Calls: 100_000, Clients: 1000, Events: 4096, HandshakeRate: 200},
 		Hooks:  Hooks{Deadline: 20 * time.Millisecond, Workers: 2, Queue: 1024},
 	}
 }
 
 // Fault is one thing wrong with a file.
-type Fault struct {
+type FileError struct {
 	File         string
 	Line, Column int
 	Key          string
-	What         string
+	Reason       string
 }
 
-func (f Fault) Error() string {
-	at := f.File
+func (f FileError) Error() string {
+	position := f.File
 	if f.Line > 0 {
-		at = fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
+		position = fmt.Sprintf("%s:%d:%d", f.File, f.Line, f.Column)
 	}
 	if f.Key != "" {
-		return fmt.Sprintf("%s: %s: %s", at, f.Key, f.What)
+		return fmt.Sprintf("%s: %s: %s", position, f.Key, f.Reason)
 	}
-	return fmt.Sprintf("%s: %s", at, f.What)
+	return fmt.Sprintf("%s: %s", position, f.Reason)
 }
 
 // Faults are all things wrong with a file, by line.
-type Faults []Fault
+type FileErrors []FileError
 
-func (f Faults) Error() string {
-	var b strings.Builder
-	for i, x := range f {
+func (f FileErrors) Error() string {
+	var text strings.Builder
+	for i, problem := range f {
 		if i > 0 {
-			b.WriteByte('\n')
+			text.WriteByte('\n')
 		}
-		b.WriteString(x.Error())
+		text.WriteString(problem.Error())
 	}
-	return b.String()
+	return text.String()
 }
 
 // Load reads and checks a file. The error is Faults, or that of reading the file.
 func Load(path string) (*Config, error) {
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(path, b)
+	return Parse(path, content)
 }
 
 // Parse reads and checks settings; name stands in its errors.
-func Parse(name string, b []byte) (*Config, error) {
+func Parse(name string, content []byte) (*Config, error) {
 	c := Default()
-	if err := Decode(name, b, &c); err != nil {
+	if err := Decode(name, content, &c); err != nil {
 		return nil, err
 	}
-	v := NewChecker(name, b)
+	v := NewChecker(name, content)
 	c.check(v)
 	return &c, v.Err()
 }
 
 // Decode reads YAML into v and refuses unknown keys. The error is Faults.
-func Decode(name string, b []byte, v any) error {
-	if strings.TrimSpace(string(b)) == "" {
-		return Faults{{File: name, What: "the file is empty"}}
+func Decode(name string, content []byte, v any) error {
+	if strings.TrimSpace(string(content)) == "" {
+		return FileErrors{{File: name, Reason: "the file is empty"}}
 	}
-	if err := yaml.UnmarshalWithOptions(b, v, yaml.Strict()); err != nil {
-		f := Fault{File: name, What: err.Error()}
-		var y yaml.Error
-		if errors.As(err, &y) {
-			f.What = y.GetMessage()
-			if t := y.GetToken(); t != nil {
-				f.Line, f.Column = t.Position.Line, t.Position.Column
-				f.Key = t.Value
+	if err := yaml.UnmarshalWithOptions(content, v, yaml.Strict()); err != nil {
+		problem := FileError{File: name, Reason: err.Error()}
+		var yamlError yaml.Error
+		if errors.As(err, &yamlError) {
+			problem.Reason = yamlError.GetMessage()
+			if token := yamlError.GetToken(); token != nil {
+				problem.Line, problem.Column = token.Position.Line, token.Position.Column
+				problem.Key = token.Value
 			}
-		} else if file, err := parser.ParseBytes(b, 0); err == nil {
+		} else if file, err := parser.ParseBytes(content, 0); err == nil {
 			// A value that does not read, such as a duration, has no place in its error: the first one that is named there.
-			v := &finder{what: f.What}
-			for _, d := range file.Docs {
-				ast.Walk(v, d.Body)
+			v := &scalarFinder{message: problem.Reason}
+			for _, document := range file.Docs {
+				ast.Walk(v, document.Body)
 			}
-			f.Line, f.Column = v.line, v.column
+			problem.Line, problem.Column = v.line, v.column
 		}
-		return Faults{f}
+		return FileErrors{problem}
 	}
 	return nil
 }
 
 // finder looks for the first scalar that an error quotes.
-type finder struct {
-	what         string
+type scalarFinder struct {
+	message      string
 	line, column int
 }
 
-func (f *finder) Visit(n ast.Node) ast.Visitor {
-	if s, ok := n.(ast.ScalarNode); ok && f.line == 0 {
-		if t := n.GetToken(); strings.Contains(f.what, fmt.Sprintf("%q", fmt.Sprint(s.GetValue()))) {
-			f.line, f.column = t.Position.Line, t.Position.Column
+func (f *scalarFinder) Visit(node ast.Node) ast.Visitor {
+	if scalar, ok := node.(ast.ScalarNode); ok && f.line == 0 {
+		if token := node.GetToken(); strings.Contains(f.message, fmt.Sprintf("%q", fmt.Sprint(scalar.GetValue()))) {
+			f.line, f.column = token.Position.Line, token.Position.Column
 		}
 	}
 	return f
@@ -288,74 +288,74 @@
 
 // Checker gathers faults of a file and finds their lines.
 type Checker struct {
-	name   string
-	file   *ast.File
-	faults Faults
+	name  string
+	file  *ast.File
+	found FileErrors
 }
 
 // NewChecker makes a Checker for a file that Decode has read.
-func NewChecker(name string, b []byte) *Checker {
-	f, _ := parser.ParseBytes(b, 0)
-	return &Checker{name: name, file: f}
+func NewChecker(name string, content []byte) *Checker {
+	parsed, _ := parser.ParseBytes(content, 0)
+	return &Checker{name: name, file: parsed}
 }
 
 // Fail notes a fault at a key, such as classes[0].aim. A key that is not in the file is shown where its parent is.
-func (v *Checker) Fail(key, format string, args ...any) {
-	f := Fault{File: v.name, Key: key, What: fmt.Sprintf(format, args...)}
-	for at := key; v.file != nil && at != ""; {
-		if p, err := yaml.PathString("$." + at); err == nil {
-			if n, err := p.FilterFile(v.file); err == nil && n != nil && n.GetToken() != nil {
-				f.Line, f.Column = n.GetToken().Position.Line, n.GetToken().Position.Column
+func (v *Checker) Errorf(key, format string, args ...any) {
+	problem := FileError{File: v.name, Key: key, Reason: fmt.Sprintf(format, args...)}
+	for path := key; v.file != nil && path != ""; {
+		if parsed, err := yaml.PathString("$." + path); err == nil {
+			if node, err := parsed.FilterFile(v.file); err == nil && node != nil && node.GetToken() != nil {
+				problem.Line, problem.Column = node.GetToken().Position.Line, node.GetToken().Position.Column
 				break
 			}
 		}
-		at = at[:max(0, strings.LastIndexAny(at, ".["))]
+		path = path[:max(0, strings.LastIndexAny(path, ".["))]
 	}
-	v.faults = append(v.faults, f)
+	v.found = append(v.found, problem)
 }
 
 // Must notes a fault unless ok.
 func (v *Checker) Must(ok bool, key, format string, args ...any) {
 	if !ok {
-		v.Fail(key, format, args...)
+		v.Errorf(key, format, args...)
 	}
 }
 
 // Err is all faults, or nil.
 func (v *Checker) Err() error {
-	if len(v.faults) == 0 {
+	if len(v.found) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(v.faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
-	return v.faults
+	slices.SortStableFunc(v.found, func(a, b FileError) int { return cmp.Compare(a.Line, b.Line) })
+	return v.found
 }
 
 // maxPC is the highest point code of 14 bits (Q.704, 2.2.3).
-const maxPC = 1<<14 - 1
+const maxPointCode = 1<<14 - 1
 
 // Address says what is wrong with a host and port.
-func (v *Checker) Address(key, a string) {
-	_, port, err := net.SplitHostPort(a)
+func (v *Checker) Address(key, address string) {
+	_, port, err := net.SplitHostPort(address)
 	if err != nil {
-		v.Fail(key, "%q is no address of the form host:port", a)
+		v.Errorf(key, "%q is no address of the form host:port", address)
 		return
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		v.Fail(key, "%q: the port must be 0 to 65535", a)
+		v.Errorf(key, "%q: the port must be 0 to 65535", address)
 	}
 }
 
-func (v *Checker) span(key string, d, from, to time.Duration) {
-	if d < from || d > to {
-		v.Fail(key, "%v; %v to %v can be", d, from, to)
+func (v *Checker) durationRange(key string, value, from, to time.Duration) {
+	if value < from || value > to {
+		v.Errorf(key, "%v; %v to %v can be", value, from, to)
 	}
 }
 
 func (c *Config) check(v *Checker) {
-	v.Must(c.Exchange > 0 && c.Exchange <= maxPC, "exchange", "the own point code must be 1 to %d", maxPC)
+	v.Must(c.Exchange > 0 && c.Exchange <= maxPointCode, "exchange", "the own point code must be 1 to %d", maxPointCode)
 	v.Must(c.Network <= 3, "network_indicator", "%d; 0 to 3 can be", c.Network)
 	if c.Listen == "" {
-		v.Fail("listen", "is missing: where clients connect")
+		v.Errorf("listen", "is missing: where clients connect")
 	} else {
 		v.Address("listen", c.Listen)
 	}
@@ -366,45 +366,45 @@
 	}
 	v.Must(slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "log.level", "%q; debug, info, warn or error can be", c.Log.Level)
 	v.Must(c.Log.Format == "json" || c.Log.Format == "console", "log.format", "%q; json or console can be", c.Log.Format)
-	v.span("guard", c.Guard, 0, time.Minute)
+	v.durationRange("guard", c.Guard, 0, time.Minute)
 	v.Must(c.MaxAttempts >= 1 && c.MaxAttempts <= 16, "max_attempts", "%d; 1 to 16 can be", c.MaxAttempts)
-	v.span("repeat", c.Repeat, 0, time.Minute)
-	v.span("answer_margin", c.AnswerMargin, 0, 10*time.Second)
-	v.span("cut_memory", c.CutMemory, 0, time.Hour)
+	v.durationRange("repeat", c.Repeat, 0, time.Minute)
+	v.durationRange("answer_margin", c.AnswerMargin, 0, 10*time.Second)
+	v.durationRange("cut_memory", c.CutMemory, 0, time.Hour)
 	v.Must(c.Hops >= 1 && c.Hops <= 31, "hops", "%d; 1 to 31 can be", c.Hops)
-	v.span("drain_limit", c.DrainLimit, 0, 24*time.Hour)
+	v.durationRange("drain_limit", c.DrainLimit, 0, 24*time.Hour)
 	v.Must(c.OverQuotaWorth >= 0 && c.OverQuotaWorth <= 1, "over_quota_worth", "%v; 0 to 1 can be", c.OverQuotaWorth)
-	v.span("cold.warm_up", c.ColdStart.WarmUp, 0, time.Hour)
+	v.durationRange("cold.warm_up", c.ColdStart.WarmUp, 0, time.Hour)
 	v.Must(c.ColdStart.Share > 0 && c.ColdStart.Share <= 1, "cold.share", "%v; above 0 to 1 can be", c.ColdStart.Share)
 	v.Must(c.ColdStart.CrashMultiple >= 1, "cold.fall_multiple", "%v; it must be 1 at the least", c.ColdStart.CrashMultiple)
-	v.span("cold.fall_span", c.ColdStart.CrashSpan, 0, time.Minute)
-	v.span("timers.t1", c.Timers.T1, 100*time.Millisecond, time.Minute)
-	v.span("timers.t5", c.Timers.T5, c.Timers.T1, 15*time.Minute)
-	v.span("timers.t7", c.Timers.T7, 100*time.Millisecond, time.Minute)
-	v.span("timers.t9", c.Timers.T9, time.Second, 10*time.Minute)
-	v.span("timers.t16", c.Timers.T16, 100*time.Millisecond, time.Minute)
-	v.span("timers.t28", c.Timers.T28, 100*time.Millisecond, time.Minute)
-	v.span("timers.signalling_hold", c.Timers.SignallingHold, 0, 10*time.Minute)
+	v.durationRange("cold.fall_span", c.ColdStart.CrashSpan, 0, time.Minute)
+	v.durationRange("timers.t1", c.Timers.T1, 100*time.Millisecond, time.Minute)
+	v.durationRange("timers.t5", c.Timers.T5, c.Timers.T1, 15*time.Minute)
+	v.durationRange("timers.t7", c.Timers.T7, 100*time.Millisecond, time.Minute)
+	v.durationRange("timers.t9", c.Timers.T9, time.Second, 10*time.Minute)
+	v.durationRange("timers.t16", c.Timers.T16, 100*time.Millisecond, time.Minute)
+	v.durationRange("timers.t28", c.Timers.T28, 100*time.Millisecond, time.Minute)
+	v.durationRange("timers.signalling_hold", c.Timers.SignallingHold, 0, 10*time.Minute)
 	a := c.Association
-	v.span("association.ack", a.Ack, 10*time.Millisecond, time.Minute)
+	v.durationRange("association.ack", a.Ack, 10*time.Millisecond, time.Minute)
 	v.Must(a.Tries >= 1 && a.Tries <= 100, "association.tries", "%d; 1 to 100 can be", a.Tries)
-	v.span("association.beat", a.Beat, 10*time.Millisecond, 10*time.Minute)
-	v.span("association.beat_limit", a.BeatLimit, a.Beat, time.Hour)
-	v.span("association.dial_limit", a.DialLimit, 10*time.Millisecond, time.Minute)
-	v.span("association.write_limit", a.WriteLimit, 10*time.Millisecond, time.Minute)
-	v.span("association.backoff_min", a.BackoffMin, time.Millisecond, time.Minute)
-	v.span("association.backoff_max", a.BackoffMax, a.BackoffMin, time.Hour)
-	v.span("association.recovery", a.Recovery, 0, time.Minute)
+	v.durationRange("association.beat", a.Beat, 10*time.Millisecond, 10*time.Minute)
+	v.durationRange("association.beat_limit", a.BeatLimit, a.Beat, time.Hour)
+	v.durationRange("association.dial_limit", a.DialLimit, 10*time.Millisecond, time.Minute)
+	v.durationRange("association.write_limit", a.WriteLimit, 10*time.Millisecond, time.Minute)
+	v.durationRange("association.backoff_min", a.BackoffMin, time.Millisecond, time.Minute)
+	v.durationRange("association.backoff_max", a.BackoffMax, a.BackoffMin, time.Hour)
+	v.durationRange("association.recovery", a.Recovery, 0, time.Minute)
 	v.Must(a.RecoveryQueue >= 0 && a.RecoveryQueue <= 64<<20, "association.recovery_queue", "%d octets; 0 to 64 MiB can be", a.RecoveryQueue)
 	v.Must(a.Queue >= m3ua.MaxFrame, "association.queue", "%d octets; it must hold a frame of %d", a.Queue, m3ua.MaxFrame)
 	v.Must(c.Limits.Calls >= 1 && c.Limits.Calls <= 1<<30, "limits.calls", "%d; 1 to 2^30 can be", c.Limits.Calls)
 	v.Must(c.Limits.Clients >= 1, "limits.clients", "%d; it must be 1 at the least", c.Limits.Clients)
 	v.Must(c.Limits.Events >= 1 && c.Limits.Events <= 1<<20, "limits.events", "%d; 1 to 2^20 can be", c.Limits.Events)
-	v.Must(c.Limits.Handshakes > 0, "limits.handshakes", "%v; it must be above 0", c.Limits.Handshakes)
-	for key, d := range map[string]AdmissionLimits{"client": c.Limits.Client, "tenant": c.Limits.Tenant, "all": c.Limits.All} {
-		v.Must(d.Rate >= 0 && d.Burst >= 0 && d.Open >= 0, "limits."+key, "a negative limit")
+	v.Must(c.Limits.HandshakeRate > 0, "limits.handshakes", "%v; it must be above 0", c.Limits.HandshakeRate)
+	for key, limits := range map[string]AdmissionLimits{"client": c.Limits.Client, "tenant": c.Limits.Tenant, "all": c.Limits.All} {
+		v.Must(limits.Rate >= 0 && limits.Burst >= 0 && limits.Open >= 0, "limits."+key, "a negative limit")
 	}
-	v.span("hooks.deadline", c.Hooks.Deadline, time.Millisecond, time.Second)
+	v.durationRange("hooks.deadline", c.Hooks.Deadline, time.Millisecond, time.Second)
 	v.Must(c.Hooks.Workers >= 1 && c.Hooks.Workers <= 64, "hooks.workers", "%d; 1 to 64 can be", c.Hooks.Workers)
 	v.Must(c.Hooks.Queue >= 1 && c.Hooks.Queue <= 1<<16, "hooks.queue", "%d; 1 to 65536 can be", c.Hooks.Queue)
 	c.checkClasses(v)
@@ -415,78 +415,78 @@
 func (c *Config) checkClasses(v *Checker) {
 	v.Must(len(c.Classes) > 0 && len(c.Classes) < 256, "classes", "%d classes; 1 to 255 can be", len(c.Classes))
 	seen, names := map[int]string{}, map[string]bool{}
-	for i, cl := range c.Classes {
+	for i, class := range c.Classes {
 		key := func(k string) string { return fmt.Sprintf("classes[%d].%s", i, k) }
-		v.Must(cl.Name != "" && !names[cl.Name], key("name"), "%q is empty or given twice", cl.Name)
-		names[cl.Name] = true
-		v.span(key("aim"), cl.Aim, time.Millisecond, time.Minute)
-		v.span(key("patience"), cl.Patience, time.Millisecond, 2*time.Minute)
-		v.Must(cl.Patience >= cl.Aim, key("patience"), "%v is under the aim of %v: its callers give up before a call can be late", cl.Patience, cl.Aim)
-		v.Must(cl.Ring == 0 || cl.Ring >= time.Second && cl.Ring <= 10*time.Minute, key("ring"), "%v; 1s to 10m can be", cl.Ring)
-		v.Must(cl.Patience > c.AnswerMargin, key("patience"), "%v, not above answer_margin %v: no call could be answered in time", cl.Patience, c.AnswerMargin)
-		v.Must(cl.Worth >= 0, key("worth"), "%v is negative", cl.Worth)
-		v.Must(cl.LateWorth >= 0 && cl.LateWorth <= 1, key("late_worth"), "%v; 0 to 1 can be", cl.LateWorth)
-		for j, cat := range cl.Categories {
+		v.Must(class.Name != "" && !names[class.Name], key("name"), "%q is empty or given twice", class.Name)
+		names[class.Name] = true
+		v.durationRange(key("aim"), class.Aim, time.Millisecond, time.Minute)
+		v.durationRange(key("patience"), class.Patience, time.Millisecond, 2*time.Minute)
+		v.Must(class.Patience >= class.Aim, key("patience"), "%v is under the aim of %v: its callers give up before a call can be late", class.Patience, class.Aim)
+		v.Must(class.Ring == 0 || class.Ring >= time.Second && class.Ring <= 10*time.Minute, key("ring"), "%v; 1s to 10m can be", class.Ring)
+		v.Must(class.Patience > c.AnswerMargin, key("patience"), "%v, not above answer_margin %v: no call could be answered in time", class.Patience, c.AnswerMargin)
+		v.Must(class.Worth >= 0, key("worth"), "%v is negative", class.Worth)
+		v.Must(class.LateWorth >= 0 && class.LateWorth <= 1, key("late_worth"), "%v; 0 to 1 can be", class.LateWorth)
+		for j, category := range class.Categories {
 			k := fmt.Sprintf("classes[%d].categories[%d]", i, j)
-			v.Must(cat >= 0 && cat <= 255, k, "%d is no calling party's category", cat)
-			v.Must(seen[cat] == "", k, "%d marks class %s already", cat, seen[cat])
-			seen[cat] = cl.Name
+			v.Must(category >= 0 && category <= 255, k, "%d is no calling party's category", category)
+			v.Must(seen[category] == "", k, "%d marks class %s already", category, seen[category])
+			seen[category] = class.Name
 		}
-		v.Must(i == 0 || len(cl.Categories) > 0, key("categories"), "is missing: no call would be of class %s", cl.Name)
+		v.Must(i == 0 || len(class.Categories) > 0, key("categories"), "is missing: no call would be of class %s", class.Name)
 	}
 }
 
 func (c *Config) checkClients(v *Checker) {
 	tenants := map[string]bool{}
-	for i, t := range c.Tenants {
-		v.Must(t.Name != "" && !tenants[t.Name], fmt.Sprintf("tenants[%d].name", i), "%q is empty or given twice", t.Name)
-		v.Must(t.Quota >= 0, fmt.Sprintf("tenants[%d].quota", i), "%v is negative", t.Quota)
-		tenants[t.Name] = true
+	for i, tenant := range c.Tenants {
+		v.Must(tenant.Name != "" && !tenants[tenant.Name], fmt.Sprintf("tenants[%d].name", i), "%q is empty or given twice", tenant.Name)
+		v.Must(tenant.Quota >= 0, fmt.Sprintf("tenants[%d].quota", i), "%v is negative", tenant.Quota)
+		tenants[tenant.Name] = true
 	}
 	asps := map[uint32]bool{}
 	names := map[string]bool{}
-	for i, x := range c.Clients {
-		key, ids := fmt.Sprintf("clients[%d].asp", i), []uint32{x.ASP}
-		if len(x.Associations) > 0 {
-			v.Must(x.ASP == 0, key, "is given beside associations: one of the two names a client")
-			v.Must(TrafficModes[x.Mode] != 0, fmt.Sprintf("clients[%d].mode", i), "%q; override, loadshare or broadcast can be", x.Mode)
-			v.Must(!names[x.Name] && x.Name != "", fmt.Sprintf("clients[%d].name", i), "%q is missing or given twice", x.Name)
-			names[x.Name] = true
-			key, ids = fmt.Sprintf("clients[%d].associations", i), x.Associations
+	for i, client := range c.Clients {
+		key, ids := fmt.Sprintf("clients[%d].asp", i), []uint32{client.ASP}
+		if len(client.Associations) > 0 {
+			v.Must(client.ASP == 0, key, "is given beside associations: one of the two names a client")
+			v.Must(TrafficModes[client.Mode] != 0, fmt.Sprintf("clients[%d].mode", i), "%q; override, loadshare or broadcast can be", client.Mode)
+			v.Must(!names[client.Name] && client.Name != "", fmt.Sprintf("clients[%d].name", i), "%q is missing or given twice", client.Name)
+			names[client.Name] = true
+			key, ids = fmt.Sprintf("clients[%d].associations", i), client.Associations
 		} else {
-			v.Must(x.Mode == "", fmt.Sprintf("clients[%d].mode", i), "is of no use without associations")
+			v.Must(client.Mode == "", fmt.Sprintf("clients[%d].mode", i), "is of no use without associations")
 		}
 		for _, id := range ids {
 			v.Must(!asps[id], key, "%d is given twice", id)
 			asps[id] = true
 		}
-		v.Must(x.Tenant == "" || tenants[x.Tenant], fmt.Sprintf("clients[%d].tenant", i), "there is no tenant %q", x.Tenant)
+		v.Must(client.Tenant == "" || tenants[client.Tenant], fmt.Sprintf("clients[%d].tenant", i), "there is no tenant %q", client.Tenant)
 	}
 }
 
 func (c *Config) checkExchanges(v *Checker) {
-	seen, addrs := map[uint32]bool{}, map[string]uint32{}
+	seen, addresses := map[uint32]bool{}, map[string]uint32{}
 	var numbers numbering.Table[uint32]
-	for i, x := range c.Exchanges {
+	for i, exchange := range c.Exchanges {
 		key := func(k string) string { return fmt.Sprintf("exchanges[%d].%s", i, k) }
-		v.Must(x.PointCode > 0 && x.PointCode <= maxPC, key("point_code"), "%d; 1 to %d can be", x.PointCode, maxPC)
-		v.Must(!seen[x.PointCode], key("point_code"), "%d is given twice", x.PointCode)
-		seen[x.PointCode] = true
-		v.Must(len(x.Switch) > 0, key("switch"), "is missing: the addresses of the switch")
-		for j, a := range x.Switch {
+		v.Must(exchange.PointCode > 0 && exchange.PointCode <= maxPointCode, key("point_code"), "%d; 1 to %d can be", exchange.PointCode, maxPointCode)
+		v.Must(!seen[exchange.PointCode], key("point_code"), "%d is given twice", exchange.PointCode)
+		seen[exchange.PointCode] = true
+		v.Must(len(exchange.Switch) > 0, key("switch"), "is missing: the addresses of the switch")
+		for j, address := range exchange.Switch {
 			k := fmt.Sprintf("exchanges[%d].switch[%d]", i, j)
-			v.Address(k, a)
-			v.Must(addrs[a] == 0, k, "%s is the address of exchange %d already", a, addrs[a])
-			addrs[a] = x.PointCode
+			v.Address(k, address)
+			v.Must(addresses[address] == 0, k, "%s is the address of exchange %d already", address, addresses[address])
+			addresses[address] = exchange.PointCode
 		}
-		if x.PointCode == c.Exchange {
-			v.Must(x.Circuits == 0, key("circuits"), "the own exchange has no group to itself")
+		if exchange.PointCode == c.Exchange {
+			v.Must(exchange.Circuits == 0, key("circuits"), "the own exchange has no group to itself")
 		} else {
-			v.Must(x.Circuits >= 0 && x.Circuits <= isup.MaxCIC, key("circuits"), "%d; 0 to %d can be", x.Circuits, isup.MaxCIC)
+			v.Must(exchange.Circuits >= 0 && exchange.Circuits <= isup.MaxCIC, key("circuits"), "%d; 0 to %d can be", exchange.Circuits, isup.MaxCIC)
 		}
-		for j, p := range x.Prefixes {
-			if err := numbers.Add(p, x.PointCode); err != nil {
-				v.Fail(fmt.Sprintf("exchanges[%d].prefixes[%d]", i, j), "%v", err)
+		for j, prefix := range exchange.Prefixes {
+			if err := numbers.Add(prefix, exchange.PointCode); err != nil {
+				v.Errorf(fmt.Sprintf("exchanges[%d].prefixes[%d]", i, j), "%v", err)
 			}
 		}
 	}
@@ -505,17 +505,17 @@
 			CrashSpan: c.ColdStart.CrashSpan,
 			Index:     slices.IndexFunc(c.Exchanges, func(e Exchange) bool { return e.PointCode == c.Exchange })},
 	}
-	for _, cl := range c.Classes {
-		out.Policy.Classes = append(out.Policy.Classes, policy.Class{Aim: cl.Aim, Worth: cl.Worth, LateWorth: cl.LateWorth, Circuits: 1, Repeatable: true})
-		k := controller.Class{Name: cl.Name, Patience: cl.Patience, Ring: cl.Ring}
-		for _, cat := range cl.Categories {
-			k.Categories = append(k.Categories, isup.Category(cat))
+	for _, class := range c.Classes {
+		out.Policy.Classes = append(out.Policy.Classes, policy.Class{Aim: class.Aim, Worth: class.Worth, LateWorth: class.LateWorth, Circuits: 1, Repeatable: true})
+		controllerClass := controller.Class{Name: class.Name, Patience: class.Patience, Ring: class.Ring}
+		for _, category := range class.Categories {
+			controllerClass.Categories = append(controllerClass.Categories, isup.Category(category))
 		}
-		out.Classes = append(out.Classes, k)
+		out.Classes = append(out.Classes, controllerClass)
 	}
-	for _, t := range c.Tenants {
-		out.Policy.Tenants = append(out.Policy.Tenants, policy.Tenant{Quota: t.Quota})
-		out.Tenants = append(out.Tenants, t.Name)
+	for _, tenant := range c.Tenants {
+		out.Policy.Tenants = append(out.Policy.Tenants, policy.Tenant{Quota: tenant.Quota})
+		out.Tenants = append(out.Tenants, tenant.Name)
 	}
 	out.Exchanges = c.ExchangeList()
 	out.HookDeadline = c.Hooks.Deadline
@@ -526,8 +526,8 @@
 // ExchangeList is the list of exchanges for the call controller.
 func (c *Config) ExchangeList() []controller.Exchange {
 	out := make([]controller.Exchange, 0, len(c.Exchanges))
-	for _, x := range c.Exchanges {
-		out = append(out, controller.Exchange{PointCode: x.PointCode, Name: x.Name, Address: x.Switch[0], Circuits: x.Circuits, Prefixes: x.Prefixes})
+	for _, exchange := range c.Exchanges {
+		out = append(out, controller.Exchange{PointCode: exchange.PointCode, Name: exchange.Name, Address: exchange.Switch[0], Circuits: exchange.Circuits, Prefixes: exchange.Prefixes})
 	}
 	return out
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const good = `
+const validSettings = `
 exchange: 1
 listen: 127.0.0.1:2905
 guard: 250ms
@@ -28,20 +28,20 @@
   - {point_code: 2, name: two, switch: ["127.0.0.1:4002", "127.0.0.1:4102"], circuits: 30, prefixes: ["22"]}
 `
 
-func TestGood(t *testing.T) {
-	c, err := Parse("f.yaml", []byte(good))
+func TestValidSettingsReachControllerConfig(t *testing.T) {
+	c, err := Parse("f.yaml", []byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := c.Controller()
-	if k.Policy.Guard != 250*time.Millisecond || k.Policy.Classes[1].Worth != 5 || k.Classes[1].Categories[0] != 11 ||
-		k.Exchanges[1].Circuits != 30 || k.Policy.Controllers != 2 || c.Timers.T1 != 15*time.Second || c.Tenant("city") != 0 {
-		t.Errorf("%+v", k)
+	cfg := c.Controller()
+	if cfg.Policy.Guard != 250*time.Millisecond || cfg.Policy.Classes[1].Worth != 5 || cfg.Classes[1].Categories[0] != 11 ||
+		cfg.Exchanges[1].Circuits != 30 || cfg.Policy.Controllers != 2 || c.Timers.T1 != 15*time.Second || c.Tenant("city") != 0 {
+		t.Errorf("%+v", cfg)
 	}
 }
 
 // Each change makes one fault, named with its line and key.
-func TestFaults(t *testing.T) {
+func TestEachErrorNamesLineAndKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"guard: 250ms", "gaurd: 250ms", "f.yaml:4:1: gaurd"},
 		{"guard: 250ms", "guard: soon", "f.yaml:4:8"},
@@ -59,13 +59,13 @@
 		{`"127.0.0.1:4102"`, `"127.0.0.1:4001"`, "exchanges[1].switch[1]"},
 		{"exchanges:", "exchanges: [", "f.yaml:"},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		if text == good {
+		text := strings.Replace(validSettings, c.old, c.new, 1)
+		if text == validSettings {
 			t.Fatalf("%q is not in the text", c.old)
 		}
 		_, err := Parse("f.yaml", []byte(text))
-		var f Faults
-		if !errors.As(err, &f) {
+		var problems FileErrors
+		if !errors.As(err, &problems) {
 			t.Errorf("%s: %v", c.new, err)
 			continue
 		}
@@ -77,14 +77,14 @@
 		t.Error("an empty file passes")
 	}
 	_, err := Parse("f.yaml", []byte("exchange: 0\nlisten: x\n"))
-	var f Faults
-	if !errors.As(err, &f) || len(f) < 4 {
+	var problems FileErrors
+	if !errors.As(err, &problems) || len(problems) < 4 {
 		t.Errorf("not all faults at once: %v", err)
 	}
 }
 
 // The README's example is a good file.
-func TestReadme(t *testing.T) {
+func TestReadmeExampleIsValid(t *testing.T) {
 	b, err := os.ReadFile("../../README.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -12,23 +12,23 @@
 )
 
 // args are the values of one message. The first thing wrong with them stays in err.
-type args struct {
-	name string
-	v    []*fastjson.Value
-	err  error
+type inputMessage struct {
+	name   string
+	values []*fastjson.Value
+	err    error
 }
 
 // message parses one line.
-func (h *host) message(text []byte) (*args, error) {
-	v, err := h.parser.ParseBytes(text)
+func (h *host) parseMessage(text []byte) (*inputMessage, error) {
+	values, err := h.parser.ParseBytes(text)
 	if err != nil {
 		return nil, fmt.Errorf("not JSON: %s", clip(string(text)))
 	}
-	list, err := v.Array()
+	list, err := values.Array()
 	if err != nil || len(list) == 0 || list[0].Type() != fastjson.TypeString {
 		return nil, errors.New("not a message: an array that begins with a name is wanted")
 	}
-	return &args{name: string(list[0].GetStringBytes()), v: list[1:]}, nil
+	return &inputMessage{name: string(list[0].GetStringBytes()), values: list[1:]}, nil
 }
 
 // clip keeps foreign text short enough for a message of one line.
@@ -39,28 +39,28 @@
 	return fmt.Sprintf("%q", s)
 }
 
-func (a *args) fail(format string, values ...any) {
+func (a *inputMessage) fail(format string, values ...any) {
 	if a.err == nil {
 		a.err = fmt.Errorf(format, values...)
 	}
 }
 
-func (a *args) arity(n int) {
-	if len(a.v) < n {
-		a.fail("%s has %d values, %d are wanted", clip(a.name), len(a.v), n)
+func (a *inputMessage) requireValues(n int) {
+	if len(a.values) < n {
+		a.fail("%s has %d values, %d are wanted", clip(a.name), len(a.values), n)
 	}
 }
 
 // value is value i, or nil where it is missing or null.
-func (a *args) value(i int) *fastjson.Value {
-	if i >= len(a.v) || a.v[i].Type() == fastjson.TypeNull {
+func (a *inputMessage) value(i int) *fastjson.Value {
+	if i >= len(a.values) || a.values[i].Type() == fastjson.TypeNull {
 		return nil
 	}
-	return a.v[i]
+	return a.values[i]
 }
 
 // number reads an optional number.
-func (a *args) number(i int, missing float64) float64 {
+func (a *inputMessage) optionalNumber(i int, missing float64) float64 {
 	v := a.value(i)
 	if v == nil {
 		return missing
@@ -73,12 +73,12 @@
 	return f
 }
 
-func (a *args) integer(i int) int64 {
+func (a *inputMessage) integer(i int) int64 {
 	if a.value(i) == nil {
 		a.fail("value %d of %s is missing", i, clip(a.name))
 		return 0
 	}
-	f := a.number(i, 0)
+	f := a.optionalNumber(i, 0)
 	if f != math.Trunc(f) {
 		a.fail("value %d of %s is not a whole number", i, clip(a.name))
 	}
@@ -86,7 +86,7 @@
 }
 
 // unsigned reads a whole number of up to 64 bits.
-func (a *args) unsigned(i int) uint64 {
+func (a *inputMessage) unsigned(i int) uint64 {
 	v := a.value(i)
 	if v == nil {
 		a.fail("value %d of %s is missing", i, clip(a.name))
@@ -99,7 +99,7 @@
 	return u
 }
 
-func (a *args) call(i int) uint64 {
+func (a *inputMessage) call(i int) uint64 {
 	id := a.unsigned(i)
 	if id >= 1<<32 {
 		a.fail("value %d of %s is no call id", i, clip(a.name))
@@ -107,22 +107,22 @@
 	return id
 }
 
-func (a *args) ms(i int) time.Duration {
+func (a *inputMessage) milliseconds(i int) time.Duration {
 	if a.value(i) == nil {
 		a.fail("value %d of %s is missing", i, clip(a.name))
 		return 0
 	}
-	return millis(a.number(i, 0))
+	return durationOf(a.optionalNumber(i, 0))
 }
 
-func millis(ms float64) time.Duration {
+func durationOf(ms float64) time.Duration {
 	if math.Abs(ms) > 9e12 { // keeps within a Duration
 		ms = math.Copysign(9e12, ms)
 	}
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
-func (a *args) text(i int) string {
+func (a *inputMessage) text(i int) string {
 	v := a.value(i)
 	if v == nil || v.Type() != fastjson.TypeString {
 		a.fail("value %d of %s is not a text", i, clip(a.name))
@@ -131,14 +131,14 @@
 	return string(v.GetStringBytes())
 }
 
-func (a *args) optText(i int) string {
+func (a *inputMessage) optionalText(i int) string {
 	if a.value(i) == nil {
 		return ""
 	}
 	return a.text(i)
 }
 
-func (a *args) boolean(i int) bool {
+func (a *inputMessage) boolean(i int) bool {
 	v := a.value(i)
 	if v == nil || v.Type() != fastjson.TypeTrue && v.Type() != fastjson.TypeFalse {
 		a.fail("value %d of %s is not true or false", i, clip(a.name))
@@ -148,29 +148,29 @@
 }
 
 // healths maps the list's states.
-var healths = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone}
+var healthByName = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone}
 
-func (a *args) entries(i int) []policy.Entry {
-	v := a.value(i)
-	if v == nil || v.Type() != fastjson.TypeArray {
+func (a *inputMessage) entries(i int) []policy.Entry {
+	values := a.value(i)
+	if values == nil || values.Type() != fastjson.TypeArray {
 		a.fail("value %d of %s is not a list", i, clip(a.name))
 		return nil
 	}
-	items := v.GetArray()
+	items := values.GetArray()
 	entries := make([]policy.Entry, 0, len(items))
 	for _, item := range items {
-		e := &args{name: "entry", v: item.GetArray()}
-		e.arity(7)
-		if e.err == nil {
-			health, ok := healths[e.text(4)]
+		entry := &inputMessage{name: "entry", values: item.GetArray()}
+		entry.requireValues(7)
+		if entry.err == nil {
+			health, ok := healthByName[entry.text(4)]
 			if !ok {
-				e.fail("unknown health %s", clip(e.text(4)))
+				entry.fail("unknown health %s", clip(entry.text(4)))
 			}
-			entries = append(entries, policy.Entry{Address: e.text(5), PointCode: int(e.integer(6)), Health: health,
-				Launched: millis(e.number(1, 0))})
+			entries = append(entries, policy.Entry{Address: entry.text(5), PointCode: int(entry.integer(6)), Health: health,
+				Launched: durationOf(entry.optionalNumber(1, 0))})
 		}
-		if e.err != nil {
-			a.fail("%s: %w", a.name, e.err)
+		if entry.err != nil {
+			a.fail("%s: %w", a.name, entry.err)
 			return nil
 		}
 	}
@@ -178,13 +178,13 @@
 }
 
 // field sets one value of a load report.
-type field struct {
+type reportField struct {
 	name string
 	set  func(*policy.Report, float64)
 }
 
 // reportFields maps the names that load reports may use.
-var reportFields = map[string]func(*policy.Report, float64){
+var reportFieldByName = map[string]func(*policy.Report, float64){
 	"free":      func(r *policy.Report, f float64) { r.Free = f },
 	"size":      func(r *policy.Report, f float64) { r.Size = f },
 	"cpu_share": func(r *policy.Report, f float64) { r.Utilisation = f },
@@ -197,28 +197,28 @@
 var unknownReport = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}
 
 // report reads a load report, or nil where there is none.
-func (in *instance) report(a *args, i int) *policy.Report {
-	v := a.value(i)
-	if v == nil {
+func (in *instance) report(a *inputMessage, i int) *policy.Report {
+	object := a.value(i)
+	if object == nil {
 		return nil
 	}
-	if v.Type() != fastjson.TypeObject {
+	if object.Type() != fastjson.TypeObject {
 		a.fail("value %d of %s is not a load report", i, clip(a.name))
 		return nil
 	}
-	r := reportOf(in.fields, func(name string) (float64, bool) {
-		x := v.Get(name)
-		if x == nil {
+	r := readReport(in.reportFields, func(name string) (float64, bool) {
+		field := object.Get(name)
+		if field == nil {
 			return 0, false
 		}
-		n, err := x.Float64()
-		return n, err == nil
+		number, err := field.Float64()
+		return number, err == nil
 	})
 	return &r
 }
 
 // config translates the settings of Hello.
-func (a *args) config(i int) (policy.Config, []field) {
+func (a *inputMessage) settings(i int) (policy.Config, []reportField) {
 	v := a.value(i)
 	if v == nil {
 		a.fail("Hello has no settings")
@@ -228,5 +228,5 @@
 	if err != nil {
 		a.fail("%w", err)
 	}
-	return s.Policy, s.fields
+	return s.Policy, s.reportFields
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -26,89 +26,89 @@
 	MaxRetryAfter  time.Duration // ... up to so long
 	MaxOpenCalls   int           // open calls at most; 0: not told
 
-	fields []field // meaning of the load report's values
+	reportFields []reportField // meaning of the load report's values
 }
 
 // Decode translates the settings object. Keys that are missing or null have the value zero unless stated here.
-func Decode(v *fastjson.Value) (*Settings, error) {
-	if v == nil || v.Type() != fastjson.TypeObject {
+func Decode(object *fastjson.Value) (*Settings, error) {
+	if object == nil || object.Type() != fastjson.TypeObject {
 		return &Settings{}, errors.New("settings: not an object")
 	}
-	var wrong error
-	num := func(v *fastjson.Value, missing float64, path ...string) float64 {
-		x := v.Get(path...)
+	var firstError error
+	number := func(object *fastjson.Value, missing float64, path ...string) float64 {
+		x := object.Get(path...)
 		if x == nil || x.Type() == fastjson.TypeNull {
 			return missing
 		}
 		f, err := x.Float64()
-		if (err != nil || math.IsNaN(f) || math.Abs(f) > 1e15) && wrong == nil {
-			wrong = fmt.Errorf("settings: %s is not a fit number", path[len(path)-1])
+		if (err != nil || math.IsNaN(f) || math.Abs(f) > 1e15) && firstError == nil {
+			firstError = fmt.Errorf("settings: %s is not a fit number", path[len(path)-1])
 		}
 		return f
 	}
-	s := &Settings{
-		ConnectTimeout: millis(num(v, 0, "limits", "connect_timeout")),
-		Keepalive:      millis(num(v, 0, "limits", "keepalive")),
-		Probes:         v.GetBool("limits", "probes"),
-		RetryAfter:     v.GetBool("limits", "retry_after"),
-		MaxRetryAfter:  millis(num(v, 0, "limits", "max_retry_after")),
-		MaxOpenCalls:   int(num(v, 0, "limits", "open_cap")),
+	decoded := &Settings{
+		ConnectTimeout: durationOf(number(object, 0, "limits", "connect_timeout")),
+		Keepalive:      durationOf(number(object, 0, "limits", "keepalive")),
+		Probes:         object.GetBool("limits", "probes"),
+		RetryAfter:     object.GetBool("limits", "retry_after"),
+		MaxRetryAfter:  durationOf(number(object, 0, "limits", "max_retry_after")),
+		MaxOpenCalls:   int(number(object, 0, "limits", "open_cap")),
 		Policy: policy.Config{
-			Self:            int(num(v, -1, "family_info", "self_no")),
-			Controllers:     int(num(v, 1, "replicas_of_me")),
-			Index:           int(num(v, 0, "position")),
-			Pools:           string(v.GetStringBytes("family_info", "shape")) == "pools",
-			SubscribeToList: string(v.GetStringBytes("discovery")) == "ask",
-			OverQuotaWorth:  num(v, 1, "over_share_worth"),
-			MaxAttempts:     int(num(v, 1, "limits", "max_attempts")),
-			Guard:           millis(num(v, 0, "family_info", "guard")),
-			Repeat:          millis(num(v, 0, "family_info", "repeat")),
-			MarksRedials:    v.GetBool("callers", "marks_retry"),
-			WarmUp:          millis(num(v, 0, "obligations", "warm_up")),
-			ColdShare:       num(v, 1, "obligations", "cold_share"),
-			CrashMultiple:   num(v, 1, "obligations", "fall_multiple"),
-			CrashSpan:       millis(num(v, 0, "obligations", "overload_for")),
+			Self:            int(number(object, -1, "family_info", "self_no")),
+			Controllers:     int(number(object, 1, "replicas_of_me")),
+			Index:           int(number(object, 0, "position")),
+			Pools:           string(object.GetStringBytes("family_info", "shape")) == "pools",
+			SubscribeToList: string(object.GetStringBytes("discovery")) == "ask",
+			OverQuotaWorth:  number(object, 1, "over_share_worth"),
+			MaxAttempts:     int(number(object, 1, "limits", "max_attempts")),
+			Guard:           durationOf(number(object, 0, "family_info", "guard")),
+			Repeat:          durationOf(number(object, 0, "family_info", "repeat")),
+			MarksRedials:    object.GetBool("callers", "marks_retry"),
+			WarmUp:          durationOf(number(object, 0, "obligations", "warm_up")),
+			ColdShare:       number(object, 1, "obligations", "cold_share"),
+			CrashMultiple:   number(object, 1, "obligations", "fall_multiple"),
+			CrashSpan:       durationOf(number(object, 0, "obligations", "overload_for")),
 		},
 	}
-	for n, c := range v.GetArray("request_classes") {
+	for index, entry := range object.GetArray("request_classes") {
 		class := policy.Class{
-			Aim: millis(num(c, 0, "aim")), Worth: num(c, 1, "credit"), LateWorth: num(c, 0, "late_worth"),
-			Circuits: num(v, 1, "family_info", "class_width", fmt.Sprint(n)),
+			Aim: durationOf(number(entry, 0, "aim")), Worth: number(entry, 1, "credit"), LateWorth: number(entry, 0, "late_worth"),
+			Circuits: number(object, 1, "family_info", "class_width", fmt.Sprint(index)),
 		}
-		class.Repeatable = string(c.GetStringBytes("idempotency")) == "read_like"
-		for _, p := range v.GetArray("family_info", "pools_by_class", fmt.Sprint(n)) {
+		class.Repeatable = string(entry.GetStringBytes("idempotency")) == "read_like"
+		for _, p := range object.GetArray("family_info", "pools_by_class", fmt.Sprint(index)) {
 			class.Pools = append(class.Pools, p.GetInt())
 		}
-		s.Policy.Classes = append(s.Policy.Classes, class)
-		s.Classes = append(s.Classes, string(c.GetStringBytes("name")))
-		s.MaxPatience = max(s.MaxPatience, millis(num(c, 0, "give_up")))
+		decoded.Policy.Classes = append(decoded.Policy.Classes, class)
+		decoded.Classes = append(decoded.Classes, string(entry.GetStringBytes("name")))
+		decoded.MaxPatience = max(decoded.MaxPatience, durationOf(number(entry, 0, "give_up")))
 	}
-	for _, t := range v.GetArray("accounts") {
-		s.Policy.Tenants = append(s.Policy.Tenants, policy.Tenant{Quota: num(t, 0, "quota_per_s")})
+	for _, tenant := range object.GetArray("accounts") {
+		decoded.Policy.Tenants = append(decoded.Policy.Tenants, policy.Tenant{Quota: number(tenant, 0, "quota_per_s")})
 	}
-	for _, z := range v.GetArray("zones") {
-		s.Zones = append(s.Zones, string(z.GetStringBytes()))
+	for _, zone := range object.GetArray("zones") {
+		decoded.Zones = append(decoded.Zones, string(zone.GetStringBytes()))
 	}
-	for _, f := range v.GetArray("feedback", "fields") {
+	for _, f := range object.GetArray("feedback", "fields") {
 		name := string(f.GetStringBytes())
-		if set, ok := reportFields[name]; ok {
-			s.fields = append(s.fields, field{name, set})
+		if set, ok := reportFieldByName[name]; ok {
+			decoded.reportFields = append(decoded.reportFields, reportField{name, set})
 		}
 	}
-	return s, wrong
+	return decoded, firstError
 }
 
 // Report reads a load report whose values are looked up by the names that the settings list; others are unknown.
-func (s *Settings) Report(value func(name string) (float64, bool)) policy.Report {
-	return reportOf(s.fields, value)
+func (s *Settings) Report(lookUp func(name string) (float64, bool)) policy.Report {
+	return readReport(s.reportFields, lookUp)
 }
 
-func reportOf(fields []field, value func(name string) (float64, bool)) policy.Report {
-	r := unknownReport
-	for _, f := range fields {
-		if n, ok := value(f.name); ok && n >= 0 && n < 1e15 {
-			f.set(&r, n)
+func readReport(fields []reportField, lookUp func(name string) (float64, bool)) policy.Report {
+	report := unknownReport
+	for _, field := range fields {
+		if value, ok := lookUp(field.name); ok && value >= 0 && value < 1e15 {
+			field.set(&report, value)
 		}
 	}
-	return r
+	return report
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -18,15 +18,15 @@
 
 // instance is one hosted controller.
 type instance struct {
-	ctl    *policy.Engine
-	fields []field // meaning of the load report's values
+	engine       *policy.Engine
+	reportFields []reportField // meaning of the load report's values
 }
 
 // host holds the instances of one process and the lists last received.
 type host struct {
 	parser    fastjson.Parser
 	instances map[int64]*instance
-	pages     map[int64][]policy.Entry
+	lists     map[int64][]policy.Entry
 	now       time.Duration
 	actions   []policy.Action
 	out       []byte
@@ -34,15 +34,15 @@
 
 // Serve answers batches from r on w until the input ends. The error is a plain one-line message.
 func Serve(r io.Reader, w io.Writer) error {
-	h := &host{instances: map[int64]*instance{}, pages: map[int64][]policy.Entry{}}
+	h := &host{instances: map[int64]*instance{}, lists: map[int64][]policy.Entry{}}
 	in := bufio.NewReaderSize(r, 1<<20)
-	bw := bufio.NewWriterSize(w, 1<<18)
-	open, line := false, 0
+	writer := bufio.NewWriterSize(w, 1<<18)
+	inBatch, line := false, 0
 	var seq int64
 	for {
 		text, err := readLine(in)
 		if errors.Is(err, io.EOF) && len(text) == 0 {
-			if open {
+			if inBatch {
 				return fmt.Errorf("line %d: input ended in mid-batch", line)
 			}
 			return nil
@@ -54,215 +54,215 @@
 		if len(text) == 0 {
 			continue
 		}
-		a, err := h.message(text)
+		message, err := h.parseMessage(text)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
 		switch {
-		case a.name == "Clock":
-			if open {
+		case message.name == "Clock":
+			if inBatch {
 				return fmt.Errorf("line %d: Clock inside a batch", line)
 			}
-			open, h.now, seq = true, a.ms(0), a.integer(1)
-			a.arity(2)
-		case !open:
-			return fmt.Errorf("line %d: %s outside a batch", line, clip(a.name))
-		case a.name == "OverToYou":
-			open = false
+			inBatch, h.now, seq = true, message.milliseconds(0), message.integer(1)
+			message.requireValues(2)
+		case !inBatch:
+			return fmt.Errorf("line %d: %s outside a batch", line, clip(message.name))
+		case message.name == "OverToYou":
+			inBatch = false
 			h.out = append(strconv.AppendInt(append(h.out, `["Ack",`...), seq, 10), "]\n"...)
-			if _, err := bw.Write(h.out); err != nil {
+			if _, err := writer.Write(h.out); err != nil {
 				return fmt.Errorf("writing: %w", err)
 			}
-			if err := bw.Flush(); err != nil {
+			if err := writer.Flush(); err != nil {
 				return fmt.Errorf("writing: %w", err)
 			}
 			h.out = h.out[:0]
 		default:
-			h.event(a)
+			h.handleMessage(message)
 		}
-		if a.err != nil {
-			return fmt.Errorf("line %d: %w", line, a.err)
+		if message.err != nil {
+			return fmt.Errorf("line %d: %w", line, message.err)
 		}
 	}
 }
 
 // readLine returns the next line without its end; the buffer grows for long ones.
-func readLine(in *bufio.Reader) ([]byte, error) {
-	text, err := in.ReadSlice('\n')
+func readLine(reader *bufio.Reader) ([]byte, error) {
+	line, err := reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		long := append([]byte(nil), text...)
+		joined := append([]byte(nil), line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
-			text, err = in.ReadSlice('\n')
-			long = append(long, text...)
+			line, err = reader.ReadSlice('\n')
+			joined = append(joined, line...)
 		}
-		text = long
+		line = joined
 	}
-	for len(text) > 0 && (text[len(text)-1] == '\n' || text[len(text)-1] == '\r') {
-		text = text[:len(text)-1]
+	for len(line) > 0 && (line[len(line)-1] == '\n' || line[len(line)-1] == '\r') {
+		line = line[:len(line)-1]
 	}
-	return text, err
+	return line, err
 }
 
 // event hands one message to the instance that it names.
-func (h *host) event(a *args) {
-	switch a.name {
+func (h *host) handleMessage(message *inputMessage) {
+	switch message.name {
 	case "Hello":
-		h.hello(a)
+		h.handleHello(message)
 		return
 	case "Pool":
-		a.arity(2)
-		h.pages[a.integer(0)] = a.entries(1)
+		message.requireValues(2)
+		h.lists[message.integer(0)] = message.entries(1)
 		return
 	}
-	id := a.integer(0)
-	in, known := h.instances[id]
-	if a.err != nil {
+	id := message.integer(0)
+	target, known := h.instances[id]
+	if message.err != nil {
 		return
 	}
 	if !known {
-		a.fail("%s for unknown controller %d", a.name, id)
+		message.fail("%s for unknown controller %d", message.name, id)
 		return
 	}
 	var ev policy.Event
-	switch a.name {
+	switch message.name {
 	case "PowerOff":
-		a.arity(1)
+		message.requireValues(1)
 		delete(h.instances, id)
 		return
 	case "Targets":
-		ev = h.targets(a)
+		ev = h.decodeTargets(message)
 	case "Demand":
-		ev = in.demand(a)
+		ev = target.decodeDemand(message)
 	case "Echo":
-		ev = in.echo(a)
+		ev = target.decodeEcho(message)
 	case "Established":
-		ev = in.established(a)
+		ev = target.decodeEstablished(message)
 	case "Returned":
-		ev = in.returned(a)
+		ev = target.decodeReturned(message)
 	case "Dropped":
-		a.arity(2)
-		ev = policy.CallerReleased{Call: a.call(1)}
+		message.requireValues(2)
+		ev = policy.CallerReleased{Call: message.call(1)}
 	case "Wake":
-		a.arity(2)
-		ev = policy.Timer{ID: a.unsigned(1)}
+		message.requireValues(2)
+		ev = policy.Timer{ID: message.unsigned(1)}
 	case "Mail":
-		a.arity(3)
+		message.requireValues(3)
 		return
 	default:
-		a.fail("unknown message %s", clip(a.name))
+		message.fail("unknown message %s", clip(message.name))
 	}
-	if a.err != nil {
+	if message.err != nil {
 		return
 	}
-	h.actions = in.ctl.Handle(h.now, ev, h.actions[:0])
-	for _, act := range h.actions {
-		h.out = appendAction(h.out, id, act)
+	h.actions = target.engine.Handle(h.now, ev, h.actions[:0])
+	for _, action := range h.actions {
+		h.out = appendAction(h.out, id, action)
 	}
 }
 
 // hello starts an instance anew.
-func (h *host) hello(a *args) {
-	a.arity(3)
-	id, seed := a.integer(0), a.unsigned(1)
-	cfg, fields := a.config(2)
-	if a.err != nil {
+func (h *host) handleHello(message *inputMessage) {
+	message.requireValues(3)
+	id, seed := message.integer(0), message.unsigned(1)
+	cfg, reportFields := message.settings(2)
+	if message.err != nil {
 		return
 	}
 	cfg.Seed = seed
-	ctl, err := policy.New(cfg)
+	engine, err := policy.New(cfg)
 	if err != nil {
-		a.fail("settings: %v", err)
+		message.fail("settings: %v", err)
 		return
 	}
-	h.instances[id] = &instance{ctl: ctl, fields: fields}
+	h.instances[id] = &instance{engine: engine, reportFields: reportFields}
 }
 
 // targets translates a report on the list.
-func (h *host) targets(a *args) policy.Event {
-	if len(a.v) < 2 {
-		a.arity(4)
+func (h *host) decodeTargets(message *inputMessage) policy.Event {
+	if len(message.values) < 2 {
+		message.requireValues(4)
 		return nil
 	}
-	form := a.text(1)
+	form := message.text(1)
 	switch form {
 	case "X":
 		return policy.List{Failed: true}
 	case "D", "F", "C":
 	default:
-		a.fail("unknown form of list %s", clip(form))
+		message.fail("unknown form of list %s", clip(form))
 		return nil
 	}
-	a.arity(4)
-	page := a.integer(3)
-	entries, ok := h.pages[page]
+	message.requireValues(4)
+	list := message.integer(3)
+	entries, ok := h.lists[list]
 	if !ok {
-		a.fail("list %d was never sent", page)
+		message.fail("list %d was never sent", list)
 	}
 	return policy.List{Full: form != "D", Entries: entries}
 }
 
 // The bits of a Demand's options.
 const (
-	optRedial    = 2
-	optTransit   = 8
-	optCutBefore = 16
+	optionRedial    = 2
+	optionTransit   = 8
+	optionCutBefore = 16
 )
 
-func (in *instance) demand(a *args) policy.Event {
-	a.arity(11)
-	options := a.integer(10)
+func (in *instance) decodeDemand(message *inputMessage) policy.Event {
+	message.requireValues(11)
+	options := message.integer(10)
 	ev := policy.Offered{
-		Call: a.call(1), Circuits: a.number(3, 0), Due: a.ms(4), AdvisedTandem: int(a.number(5, -1)),
-		Tenant: int(a.number(6, 0)), Number: a.optText(7), Destination: int(a.integer(8)), Class: int(a.integer(9)),
-		Transit: options&optTransit != 0, Redial: options&optRedial != 0, CutBefore: options&optCutBefore != 0,
+		Call: message.call(1), Circuits: message.optionalNumber(3, 0), Due: message.milliseconds(4), AdvisedTandem: int(message.optionalNumber(5, -1)),
+		Tenant: int(message.optionalNumber(6, 0)), Number: message.optionalText(7), Destination: int(message.integer(8)), Class: int(message.integer(9)),
+		Transit: options&optionTransit != 0, Redial: options&optionRedial != 0, CutBefore: options&optionCutBefore != 0,
 	}
 	return ev
 }
 
-func (in *instance) echo(a *args) policy.Event {
-	a.arity(5)
-	ev := policy.Status{Exchange: a.text(2), OK: a.integer(3) == 0, Report: unknownReport}
-	if delay := a.ms(1); delay > 0 {
+func (in *instance) decodeEcho(message *inputMessage) policy.Event {
+	message.requireValues(5)
+	ev := policy.Status{Exchange: message.text(2), OK: message.integer(3) == 0, Report: unknownReport}
+	if delay := message.milliseconds(1); delay > 0 {
 		ev.Asked, ev.Delay = true, delay
 	}
-	if r := in.report(a, 4); r != nil {
+	if r := in.report(message, 4); r != nil {
 		ev.Report = *r
 	}
 	return ev
 }
 
-func (in *instance) established(a *args) policy.Event {
-	a.arity(5)
-	return policy.Established{Call: a.call(1), Delay: a.ms(2), Exchange: a.text(3), Attempt: int(a.integer(4))}
+func (in *instance) decodeEstablished(message *inputMessage) policy.Event {
+	message.requireValues(5)
+	return policy.Established{Call: message.call(1), Delay: message.milliseconds(2), Exchange: message.text(3), Attempt: int(message.integer(4))}
 }
 
 // causes maps completion codes.
-var causes = map[int64]policy.Cause{
+var causeByCode = map[int64]policy.Cause{
 	0: policy.Completed, 13: policy.Failed, 8: policy.NotSetUp, 4: policy.TimedOut, 14: policy.NoContact,
 	10: policy.Reset, 1: policy.Cancelled, 9: policy.NotSent,
 }
 
-func (in *instance) returned(a *args) policy.Event {
-	a.arity(9)
-	code, why := a.integer(6), int64(a.number(5, 0))
-	cause, ok := causes[code]
+func (in *instance) decodeReturned(message *inputMessage) policy.Event {
+	message.requireValues(9)
+	code, reason := message.integer(6), int64(message.optionalNumber(5, 0))
+	cause, ok := causeByCode[code]
 	if !ok {
-		a.fail("unknown completion code %d", code)
+		message.fail("unknown completion code %d", code)
 	}
 	ev := policy.AttemptEnded{
-		Call: a.call(1), Final: a.boolean(2), Delay: a.ms(3), Attempt: int(a.integer(4)), Cause: cause,
-		Exchange: a.text(7), Report: in.report(a, 8),
+		Call: message.call(1), Final: message.boolean(2), Delay: message.milliseconds(3), Attempt: int(message.integer(4)), Cause: cause,
+		Exchange: message.text(7), Report: in.report(message, 8),
 	}
 	switch {
-	case why == 18:
+	case reason == 18:
 		ev.Reason = policy.CrankbackFull
-	case why&15 == 1:
+	case reason&15 == 1:
 		ev.Reason = policy.NoCircuit
-	case why&15 == 2:
+	case reason&15 == 2:
 		ev.Reason = policy.Crankback
-	case why&15 == 3:
-		ev.Reason, ev.Wait = policy.ProcessorFull, time.Duration(why>>4)*time.Millisecond
-	case why&15 == 4:
+	case reason&15 == 3:
+		ev.Reason, ev.Wait = policy.ProcessorFull, time.Duration(reason>>4)*time.Millisecond
+	case reason&15 == 4:
 		ev.Reason = policy.NumberBusy
 	}
 	return ev
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -6,26 +6,26 @@
 	"testing"
 )
 
-const hello = `["Hello",3,7,{"family_info":{"self_no":0,"guard":200,"shape":"mesh","mean_hold":[10000],` +
+const helloLine = `["Hello",3,7,{"family_info":{"self_no":0,"guard":200,"shape":"mesh","mean_hold":[10000],` +
 	`"class_width":[1]},"feedback":{"fields":["free","size","new_thing"],"how":"inline"},"limits":{"max_attempts":4},` +
 	`"replicas_of_me":2,"unknown":{"x":[1]},"request_classes":[{"aim":1500,"credit":1,"idempotency":"read_like"}]}]`
 
-const pool = `["Pool",0,[[0,null,0,1,"Ready","10.0.0.1:1",0],[1,6100.0,0,1.5,"Ready","10.0.0.2:2",1]]]`
+const poolLine = `["Pool",0,[[0,null,0,1,"Ready","10.0.0.1:1",0],[1,6100.0,0,1.5,"Ready","10.0.0.2:2",1]]]`
 
-const demand = `["Demand",3,1564119492,null,1,12000.5,null,0,"tel-1",1,0,0]`
+const demandLine = `["Demand",3,1564119492,null,1,12000.5,null,0,"tel-1",1,0,0]`
 
 func batch(lines ...string) string {
 	return "[\"Clock\",9000.25,1]\n" + strings.Join(lines, "\n") + "\n[\"OverToYou\"]\n"
 }
 
-func TestServe(t *testing.T) {
-	start := batch(hello, pool, `["Targets",3,"C",0,0]`, `["Echo",3,0,"10.0.0.2:2",0,{"free":5,"size":9}]`, demand)
+func TestServeAnswersOrNamesTheLine(t *testing.T) {
+	start := batch(helloLine, poolLine, `["Targets",3,"C",0,0]`, `["Echo",3,0,"10.0.0.2:2",0,{"free":5,"size":9}]`, demandLine)
 	set := `["Send",3,1564119492,1500,"10.0.0.2:2"]`
 	for name, tc := range map[string]struct{ in, out, err string }{
 		"nothing":     {"", "", ""},
 		"empty batch": {batch(), `["Ack",1]`, ""},
 		"a call":      {start, set, ""},
-		"after death": {start + batch(`["PowerOff",3]`, hello), `["Ack",1]`, ""},
+		"after death": {start + batch(`["PowerOff",3]`, helloLine), `["Ack",1]`, ""},
 		"standing":    {start + batch(`["Established",3,1564119492,9.5,"10.0.0.2:2",0]`), set, ""},
 		"ended":       {start + batch(`["Returned",3,1564119492,true,9.5,0,null,0,"10.0.0.2:2",null]`), set, ""},
 		"stay away": {start + batch(`["Returned",3,1564119492,false,9.5,0,16003,8,"10.0.0.2:2",null]`),
@@ -33,7 +33,7 @@
 		"mail":         {start + batch(`["Mail",3,1,"hi"]`), set, ""},
 		"not JSON":     {"[\"Clock\",1", "", "line 1: not JSON"},
 		"no message":   {"{}\n", "", "not a message"},
-		"outside":      {demand + "\n", "", "outside a batch"},
+		"outside":      {demandLine + "\n", "", "outside a batch"},
 		"mid-batch":    {"[\"Clock\",1,1]\n", "", "mid-batch"},
 		"arity":        {batch(`["Demand",3]`), "", "unknown controller"},
 		"arity known":  {start + batch(`["Demand",3,1]`), "", "values"},
@@ -46,8 +46,8 @@
 		"bad health":   {batch(`["Pool",0,[[0,null,0,1,"Odd","a:1",0]]]`), "", "unknown health"},
 		"no settings":  {batch(`["Hello",3,7,null]`), "", "no settings"},
 		"no classes":   {batch(`["Hello",3,7,{}]`), "", "no call classes"},
-		"negative":     {batch(strings.Replace(hello, `"guard":200`, `"guard":-1`, 1)), "", "negative"},
-		"huge number":  {batch(strings.Replace(hello, `"guard":200`, `"guard":1e300`, 1)), "", "fit number"},
+		"negative":     {batch(strings.Replace(helloLine, `"guard":200`, `"guard":-1`, 1)), "", "negative"},
+		"huge number":  {batch(strings.Replace(helloLine, `"guard":200`, `"guard":1e300`, 1)), "", "fit number"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -66,9 +66,9 @@
 }
 
 func FuzzServe(f *testing.F) {
-	f.Add(batch(hello, pool, `["Targets",3,"C",0,0]`, demand))
-	f.Add(batch(hello, pool, `["Targets",3,"D",0,0]`, demand, `["Wake",3,1564119492]`, `["Dropped",3,1564119492]`))
-	f.Add(batch(hello, `["Returned",3,1,false,1,0,18,8,"a:1",{"free":-1}]`))
+	f.Add(batch(helloLine, poolLine, `["Targets",3,"C",0,0]`, demandLine))
+	f.Add(batch(helloLine, poolLine, `["Targets",3,"D",0,0]`, demandLine, `["Wake",3,1564119492]`, `["Dropped",3,1564119492]`))
+	f.Add(batch(helloLine, `["Returned",3,1,false,1,0,18,8,"a:1",{"free":-1}]`))
 	f.Add("[\"Clock\",1e15,18446744073709551615]\n[\"OverToYou\"]\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		var out bytes.Buffer
--- a/scenario/scenario.go
+++ b/scenario/scenario.go
@@ -234,7 +234,7 @@
 			span(key("ring"), c.Ring, time.Second, 10*time.Minute)
 		}
 		if err := c.Ringing.Check(); err != nil {
-			v.Fail(key("ringing"), "%v", err)
+			v.Errorf(key("ringing"), "%v", err)
 		}
 	}
 	v.Must(sum > 0, "traffic.classes", "the shares add up to nothing")
