--- a/m3ua/as.go
+++ b/m3ua/as.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// ASState is the state of an application server as its signalling gateway sees it (RFC 4666, 4.3.2).
+// ASState is the state of an application server at its signalling gateway (RFC 4666, 4.3.2).
 type ASState uint8
 
-// The states. ASDown covers AS-DOWN and AS-INACTIVE: nobody takes its traffic.
+// The states of an application server. ASDown covers AS-DOWN and AS-INACTIVE: no association takes its traffic.
 const (
 	ASDown    ASState = iota
-	ASActive          // one association or more takes its traffic
-	ASPending         // the last one was lost: traffic is kept for T(r)
+	ASActive          // at least one association takes its traffic
+	ASPending         // the last active association was lost: its traffic is queued for T(r)
 )
 
 func (s ASState) String() string { return [...]string{"down", "active", "pending"}[s] }
 
-// AS is an application server: one peer reached over several associations, which are named by numbers. It decides which of
-// them takes a message, by the traffic mode (RFC 4666, 4.3.4.3.1), and keeps messages while there is none.
+// AS is an application server: one peer reached over several associations, each identified by a number. It selects the
+// association for a message by the traffic mode (RFC 4666, 4.3.4.3.1) and queues messages while none is active.
 //
-// Messages of one call stay in sequence: a call's messages go where its last ones went as long as that association is there
-// (the user part's own sequence is by SLS, so calls of one SLS start out on one association). What was handed to an
-// association that is lost may not have arrived; nothing is sent a second time, since nobody can tell.
+// The messages of one call stay in sequence: they follow the call's previous message as long as that association is active.
+// A call's first message is assigned by its SLS, by which the user part sequences its messages. A message that was passed to
+// an association before its loss is not sent again, because the sender cannot know whether it arrived.
 type AS struct {
 	mode         uint32
 	recovery     time.Duration
 	queueLimit   int
 	active       []uint32
 	state        ASState
-	recoveryEnd  time.Duration // of ASPending
+	recoveryEnd  time.Duration // end of T(r), in state ASPending
 	queued       [][]byte
 	queuedOctets int
 }
 
-// NewAS makes an application server that has no association yet. recovery is T(r) (RFC 4666, 4.3.2): how long its traffic
-// waits for an association when the last one is lost. limit bounds the octets that wait. A mode that is none is loadshare.
+// NewAS returns an application server that has no association yet. recovery is T(r) (RFC 4666, 4.3.2): how long its traffic
+// is queued after the loss of the last association. queueLimit bounds the queue in octets. An unknown mode means loadshare.
 func NewAS(mode uint32, recovery time.Duration, queueLimit int) *AS {
 	if mode != TrafficOverride && mode != TrafficBroadcast {
 		mode = TrafficLoadshare
@@ -43,15 +43,15 @@
 	return &AS{mode: mode, recovery: recovery, queueLimit: queueLimit}
 }
 
-// State is the present state.
+// State returns the current state.
 func (s *AS) State() ASState { return s.state }
 
-// Active tells whether an association takes traffic.
+// Active reports whether an association takes traffic.
 func (s *AS) Active(id uint32) bool { return slices.Contains(s.active, id) }
 
-// Up takes an association that is active from now on. kept are the messages that waited, in their order: they go to it
-// before any other. replaced are associations that take no traffic any more, since the mode is override: they are told
-// "alternate ASP active".
+// Activate adds an association that takes traffic from now on. queued are the messages that waited for one, in their order;
+// the caller sends them on it before any other. In override mode, replaced are the associations that no longer take
+// traffic; the caller notifies them with NTFY "Alternate ASP Active".
 func (s *AS) Activate(id uint32) (queued [][]byte, replaced []uint32) {
 	if !s.Active(id) {
 		if s.mode == TrafficOverride {
@@ -64,7 +64,7 @@
 	return queued, replaced
 }
 
-// Down takes the loss of an association. When it was the last one, T(r) begins.
+// Deactivate removes an association. T(r) starts when it was the last one.
 func (s *AS) Deactivate(now time.Duration, id uint32) {
 	i := slices.Index(s.active, id)
 	if i < 0 {
@@ -76,10 +76,10 @@
 	}
 }
 
-// Until is the end of T(r) in state pending.
+// RecoveryEnd returns the time at which T(r) ends; it counts only in state ASPending.
 func (s *AS) RecoveryEnd() time.Duration { return s.recoveryEnd }
 
-// Expire ends T(r); true: it is over, and what waited is lost.
+// Expire reports whether T(r) has ended. If so, it drops the queued messages and the application server is down.
 func (s *AS) Expire(now time.Duration) bool {
 	if s.state != ASPending || now < s.recoveryEnd {
 		return false
@@ -88,12 +88,12 @@
 	return true
 }
 
-// GiveUp lets T(r) end now.
+// EndRecovery makes T(r) end now.
 func (s *AS) EndRecovery(now time.Duration) { s.recoveryEnd = min(s.recoveryEnd, now) }
 
-// Route appends the associations that a message goes to. last is the one that the call's last message came by or went to.
-// None is appended while the message waits for an association. ok is false when it is lost: nothing takes the traffic, or
-// as much as may wait does.
+// Route appends to targets the associations that a message must be sent on. last is the association of the call's previous
+// message in either direction. Nothing is appended when the message is queued. ok is false when the message is lost, because
+// the application server is down or the queue is full.
 func (s *AS) Route(frame []byte, sls byte, last uint32, targets []uint32) (_ []uint32, ok bool) {
 	switch {
 	case s.state == ASPending:
--- a/m3ua/as_test.go
+++ b/m3ua/as_test.go
@@ -13,7 +13,7 @@
 	frame := []byte("frame")
 	for mode, want := range map[uint32]string{
 		TrafficOverride:  "[2] [2] [2]",
-		TrafficLoadshare: "[1] [1] [2]", // by the last one, and SLS 0 and 1
+		TrafficLoadshare: "[1] [1] [2]", // by the previous association, by SLS 0 and by SLS 1
 		TrafficBroadcast: "[1 2] [1 2] [1 2]",
 	} {
 		s := NewAS(mode, time.Second, 100)
@@ -35,34 +35,34 @@
 func TestPendingASQueuesUpToLimitUntilRecoveryEnds(t *testing.T) {
 	s := NewAS(TrafficLoadshare, 2*time.Second, 10)
 	if _, ok := s.Route([]byte("x"), 0, 0, nil); ok {
-		t.Error("nobody was ever there, and a message waits")
+		t.Error("a message was accepted although no association was ever active")
 	}
 	s.Activate(1)
 	s.Deactivate(time.Second, 1)
-	for i, want := range []bool{true, true, false} { // four octets each, of ten
+	for i, want := range []bool{true, true, false} { // messages of 4 octets, a queue limit of 10
 		if to, ok := s.Route(fmt.Appendf(nil, "m%03d", i), 0, 1, nil); ok != want || len(to) > 0 {
 			t.Errorf("message %d: %v %v", i, to, ok)
 		}
 	}
 	if s.Expire(2999*time.Millisecond) || s.State() != ASPending {
-		t.Error("T(r) ended early")
+		t.Error("T(r) ended before 2 s")
 	}
 	queued, _ := s.Activate(7)
 	if len(queued) != 2 || string(queued[0]) != "m000" || string(queued[1]) != "m001" || s.Expire(time.Hour) {
-		t.Errorf("kept %q", queued)
+		t.Errorf("queued messages %q, want m000 and m001", queued)
 	}
 	s.Deactivate(10*time.Second, 7)
 	s.Route([]byte("late"), 0, 7, nil)
 	if !s.Expire(12*time.Second) || s.State() != ASDown {
-		t.Error("T(r) does not end")
+		t.Error("T(r) has not ended after 2 s")
 	}
 	if queued, _ := s.Activate(8); len(queued) > 0 {
-		t.Errorf("%q outlived T(r)", queued)
+		t.Errorf("%q still queued after the end of T(r)", queued)
 	}
 }
 
-// Whatever comes and goes: nothing is both kept and sent, a call's messages arrive in their order on each association and
-// move only when theirs is lost, and what is kept is bounded.
+// TestASKeepsCallsInSequence activates and deactivates associations in random order. It guards against messages that are sent
+// twice or out of order, calls that move although their association is active, and a queue that exceeds its limit.
 func TestASKeepsCallsInSequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mode := rapid.SampledFrom([]uint32{TrafficOverride, TrafficLoadshare}).Draw(t, "mode")
@@ -72,7 +72,7 @@
 		sent := map[byte][]int{}
 		deliver := func(id uint32, frame []byte) {
 			if !active[id] {
-				t.Fatalf("sent to %d, which is not there", id)
+				t.Fatalf("message sent on association %d, which is not active", id)
 			}
 			sent[frame[0]] = append(sent[frame[0]], int(frame[1]))
 			last[frame[0]] = id
@@ -105,19 +105,19 @@
 					t.Fatalf("ok %v in state %v", ok, s.State())
 				}
 				if active[previous] && (len(to) != 1 || to[0] != previous) {
-					t.Fatalf("a call moved from %d to %v, which is there still", previous, to)
+					t.Fatalf("call moved from association %d, which is still active, to %v", previous, to)
 				}
 				for _, id := range to {
 					deliver(id, frame)
 				}
 			}
 			if s.queuedOctets > 40 {
-				t.Fatalf("%d octets wait", s.queuedOctets)
+				t.Fatalf("%d octets queued, limit 40", s.queuedOctets)
 			}
 		}
 		for call, numbers := range sent {
 			if !slices.IsSorted(numbers) || len(slices.Compact(slices.Clone(numbers))) != len(numbers) {
-				t.Fatalf("call %d: %v", call, numbers)
+				t.Fatalf("call %d: messages out of order or sent twice: %v", call, numbers)
 			}
 		}
 	})
--- a/m3ua/asp.go
+++ b/m3ua/asp.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// State is the state of an association as its two ends see it (RFC 4666, 4.3.1).
+// State is the state of the ASP on one association; both ends track it (RFC 4666, 4.3.1).
 type State uint8
 
 // The states of an ASP.
@@ -17,13 +17,13 @@
 
 func (s State) String() string { return [...]string{"down", "inactive", "active"}[s] }
 
-// Timers of an association. Zero values are replaced by the defaults in brackets.
+// Timers are the timers and retry limits of an association. A zero value stands for the default in brackets.
 type Timers struct {
-	Ack   time.Duration // T(ack): a request without its acknowledgement is sent again (2 s; RFC 4666, 4.3.4.1)
-	Tries int           // requests sent in vain before the association is given up (3)
-	Beat  time.Duration // between two heartbeats (5 s)
-	// BeatLimit: nothing at all heard for so long, the association is given up (2 times Beat). It is given up sooner when as
-	// many heartbeats as Tries have had no answer within the time that answers take, doubled from one to the next.
+	Ack   time.Duration // T(ack), after which an unacknowledged request is sent again (2 s; RFC 4666, 4.3.4.1)
+	Tries int           // unacknowledged requests or heartbeats after which the association fails (3)
+	Beat  time.Duration // T(beat), the interval between heartbeats (5 s)
+	// BeatLimit is how long nothing at all may be received before the association fails (2 times Beat). It fails sooner when
+	// Tries heartbeats in a row time out; their time-out follows the measured round-trip time and doubles each time.
 	BeatLimit time.Duration
 }
 
@@ -43,56 +43,58 @@
 	return t
 }
 
-// Outcome is what an association makes of a message or of the time.
+// Outcome is the result of a message or of a timer.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Nothing     Outcome = iota
-	Deliver             // a message for the user: DATA, SSNM or NTFY
+	Deliver             // the message is for the user part: DATA, SSNM or NTFY
 	Activated           // traffic may flow from now on
-	Deactivated         // traffic stops; the connection stays
-	Failed              // the association is of no use any more: close the connection
+	Deactivated         // traffic stops; the connection stays open
+	Failed              // the association has failed or was taken down: close the connection
 )
 
-// ASP is the end of an association that asks for traffic: it sends ASPUP and ASPAC (RFC 4666, 4.3.4). SGP, the other
-// end, answers. Both are fed each message and the time, and append frames to be sent to Out.
+// ASP is the state machine of one end of an association. The ASP end sends ASPUP and ASPAC to request traffic (RFC 4666,
+// 4.3.4); the SGP end, made by NewSGP, acknowledges them. The owner passes in each message and the time, and sends the frames
+// that are appended to Out.
 type ASP struct {
-	Out []byte // frames to be sent; the owner takes them and cuts the slice
+	Out []byte // frames to be sent; the owner empties it
 
 	timers       Timers
-	server       bool
+	server       bool // this is the SGP end
 	state        State
-	id           uint32
-	context      uint32
-	trafficMode  uint32
-	awaited      Kind // acknowledgement awaited; 0: none
-	unacked      int
-	ackDeadline  time.Duration // of the acknowledgement
-	lastReceived time.Duration
+	id           uint32        // ASP identifier
+	context      uint32        // routing context
+	trafficMode  uint32        // requested by the peer; used on the SGP end
+	awaited      Kind          // acknowledgement, or on the SGP end request, that is awaited; 0: none
+	unacked      int           // requests sent in a row without an acknowledgement
+	ackDeadline  time.Duration // for the awaited message
+	lastReceived time.Duration // when the last message of any kind arrived
 	nextBeat     time.Duration
 	beatCount    uint64
 	heartbeat    heartbeat
 }
 
-// probe is a heartbeat that has no acknowledgement yet, and what is known of the time that they take (RFC 6298, section 2).
+// heartbeat supervises the acknowledgements of heartbeats. Their time-out is computed from the round-trip time as in RFC 6298,
+// section 2.
 type heartbeat struct {
-	sentAt      [8]time.Duration // of the last ones, by number
-	ackDeadline time.Duration    // of the acknowledgement; 0: none is awaited
-	missed      int
-	srtt        time.Duration // SRTT; 0: none was measured
-	rttvar      time.Duration // RTTVAR
-	rto         time.Duration // RTO
+	sentAt      [8]time.Duration // of the last heartbeats, by number modulo 8; 0: already acknowledged
+	ackDeadline time.Duration    // for an acknowledgement; 0: none is awaited
+	missed      int              // time-outs in a row
+	srtt        time.Duration    // SRTT, the smoothed round-trip time; 0: not measured yet
+	rttvar      time.Duration    // RTTVAR, the round-trip time variation
+	rto         time.Duration    // RTO, the time-out before any doubling
 }
 
-// The bounds of RTO. A peer may stand still for a second and more (a collection of garbage, a moved machine): with three
-// heartbeats the floor gives it three and a half.
+// The initial and the lowest RTO. A peer may pause for more than a second, for example for garbage collection or a live
+// migration of its machine. With the lowest RTO, three heartbeats time out after 0.5 + 1 + 2 = 3.5 s.
 const (
 	initialRTO = time.Second
 	minRTO     = 500 * time.Millisecond
 )
 
-// measured takes the time that an acknowledgement took.
+// updateRTO updates the time-out with a measured round-trip time.
 func (p *heartbeat) updateRTO(roundTrip time.Duration) {
 	if p.srtt == 0 {
 		p.srtt, p.rttvar = roundTrip, roundTrip/2
@@ -103,7 +105,8 @@
 	p.rto = max(minRTO, p.srtt+4*p.rttvar)
 }
 
-// NewASP makes the asking end, opened at now. id is the ASP identifier, context the routing context.
+// NewASP returns the ASP end of an association whose connection was opened at now. id is the ASP identifier, context the
+// routing context.
 func NewASP(timers Timers, id, context uint32, now time.Duration) *ASP {
 	a := &ASP{timers: timers.withDefaults(), id: id, context: context, lastReceived: now}
 	a.nextBeat = now + a.timers.Beat
@@ -111,22 +114,22 @@
 	return a
 }
 
-// NewSGP makes the answering end, opened at now.
+// NewSGP returns the SGP end of an association whose connection was opened at now.
 func NewSGP(timers Timers, now time.Duration) *ASP {
 	a := &ASP{timers: timers.withDefaults(), server: true, lastReceived: now}
 	a.nextBeat = now + a.timers.Beat
-	// A peer that opens a connection and never says ASPUP is given up like one that never answers.
+	// A peer that opens a connection but never sends ASPUP is closed after the same time as one that never acknowledges.
 	a.awaited, a.unacked, a.ackDeadline = ASPUP, a.timers.Tries, now+time.Duration(a.timers.Tries)*a.timers.Ack
 	return a
 }
 
-// State is the present state.
+// State returns the current state.
 func (a *ASP) State() State { return a.state }
 
-// Override tells, on the answering end, that the peer asked for traffic mode override (RFC 4666, 4.3.4.3).
+// Override reports, on the SGP end, whether the peer requested traffic mode override (RFC 4666, 4.3.4.3).
 func (a *ASP) Override() bool { return a.trafficMode == TrafficOverride }
 
-// ID is the ASP identifier, of the peer on the answering end.
+// ID returns the ASP identifier: the own one on the ASP end, the peer's on the SGP end.
 func (a *ASP) ID() uint32 { return a.id }
 
 func (a *ASP) send(m *Message) { a.Out = Append(a.Out, m) }
@@ -145,7 +148,7 @@
 	a.ackDeadline = now + a.timers.Ack
 }
 
-// Handle takes one decoded message.
+// Handle handles one decoded message.
 func (a *ASP) Handle(now time.Duration, m *Message) Outcome {
 	a.Received(now)
 	switch m.Kind {
@@ -153,9 +156,9 @@
 		a.send(&Message{Kind: BEATAck, Heartbeat: m.Heartbeat})
 		return Nothing
 	case BEATAck:
-		if len(m.Heartbeat) == 8 { // its own number comes back, so that a repeated one is no riddle (Karn)
+		if len(m.Heartbeat) == 8 { // the number of the acknowledged heartbeat: a round trip is measured without ambiguity (Karn's algorithm)
 			if number := binary.BigEndian.Uint64(m.Heartbeat); number > 0 && number <= a.beatCount && number+uint64(len(a.heartbeat.sentAt)) > a.beatCount {
-				if sentAt := &a.heartbeat.sentAt[number%uint64(len(a.heartbeat.sentAt))]; *sentAt > 0 { // once for each
+				if sentAt := &a.heartbeat.sentAt[number%uint64(len(a.heartbeat.sentAt))]; *sentAt > 0 { // the first acknowledgement of this heartbeat
 					a.heartbeat.updateRTO(now - *sentAt)
 					*sentAt = 0
 				}
@@ -183,9 +186,9 @@
 	case m.Kind == ASPACAck && a.awaited == ASPACAck:
 		a.state, a.awaited = Active, 0
 		return Activated
-	case m.Kind == ASPDNAck && a.state != Down: // unasked: the peer takes the ASP down (RFC 4666, 4.3.4.2)
+	case m.Kind == ASPDNAck && a.state != Down: // unsolicited: the peer takes the ASP down (RFC 4666, 4.3.4.2)
 		return a.setDown(Failed)
-	case m.Kind == ASPIAAck && a.state == Active: // unasked: traffic is taken away
+	case m.Kind == ASPIAAck && a.state == Active: // unsolicited: the peer makes the ASP inactive; ASPAC is sent again after T(ack)
 		a.state = Inactive
 		a.awaited, a.unacked, a.ackDeadline = ASPACAck, 0, now+a.timers.Ack
 		return Deactivated
@@ -203,7 +206,7 @@
 		a.state, a.awaited = Inactive, ASPAC
 		a.ackDeadline = now + time.Duration(a.timers.Tries)*a.timers.Ack
 		a.send(&Message{Kind: ASPUPAck})
-		if previous == Active { // an ASPUP in state active: it has started anew (RFC 4666, 4.3.4.1)
+		if previous == Active { // the peer has restarted (RFC 4666, 4.3.4.1)
 			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage})
 			return Deactivated
 		}
@@ -220,7 +223,7 @@
 			a.send(&Message{Kind: NTFY, StatusType: StatusASState, StatusInfo: InfoASActive})
 			return Activated
 		}
-		if m.TrafficMode == TrafficOverride { // another may have taken its place: it asks to have its traffic again
+		if m.TrafficMode == TrafficOverride { // another ASP may have taken over the traffic; this one requests it back
 			return Activated
 		}
 	case ASPIA:
@@ -243,7 +246,7 @@
 	return outcome
 }
 
-// Next is the time at which Tick must be called at the latest.
+// NextDeadline returns the time by which Tick must be called.
 func (a *ASP) NextDeadline() time.Duration {
 	next := min(a.nextBeat, a.lastReceived+a.timers.BeatLimit)
 	if a.awaited != 0 {
@@ -255,7 +258,7 @@
 	return next
 }
 
-// Tick lets time pass: it repeats requests, sends heartbeats and gives up a silent peer.
+// Tick handles the timers that are due at now: it sends requests again, sends heartbeats and detects an unresponsive peer.
 func (a *ASP) Tick(now time.Duration) Outcome {
 	if now >= a.lastReceived+a.timers.BeatLimit {
 		return a.setDown(Failed)
@@ -282,7 +285,7 @@
 	return Nothing
 }
 
-// beat sends a heartbeat and awaits its acknowledgement.
+// sendHeartbeat sends a heartbeat and sets the deadline for its acknowledgement.
 func (a *ASP) sendHeartbeat(now time.Duration) {
 	p := &a.heartbeat
 	a.beatCount++
@@ -295,10 +298,10 @@
 	p.ackDeadline = now + p.rto<<p.missed
 }
 
-// RoundTrip is the smoothed time that heartbeats take; 0: none was answered.
+// RoundTrip returns the smoothed round-trip time of heartbeats; 0: not measured yet.
 func (a *ASP) RoundTrip() time.Duration { return a.heartbeat.srtt }
 
-// Close says that the association ends: ASPDN from the asking end.
+// Close ends the association; the ASP end sends ASPDN.
 func (a *ASP) Close() {
 	if !a.server && a.state != Down {
 		a.send(&Message{Kind: ASPDN})
@@ -306,8 +309,8 @@
 	a.setDown(Nothing)
 }
 
-// Heard notes that a message came that the owner deals with itself.
+// Received records the arrival of a message. The owner calls it for a message that it does not pass to Handle.
 func (a *ASP) Received(now time.Duration) {
 	a.lastReceived = now
-	a.heartbeat.ackDeadline, a.heartbeat.missed = 0, 0 // whatever it was, the peer is there
+	a.heartbeat.ackDeadline, a.heartbeat.missed = 0, 0 // any message shows that the peer is alive
 }
--- a/m3ua/m3ua.go
+++ b/m3ua/m3ua.go
@@ -1,8 +1,8 @@
-// Package m3ua holds the messages of the MTP3 User Adaptation layer (RFC 4666), carried over TCP, and the state
-// machine of one association. It opens no connection and reads no clock.
+// Package m3ua encodes and decodes the messages of the MTP3 User Adaptation layer (RFC 4666), carried over TCP, and has the
+// state machines of an association and of an application server. It opens no connection and reads no clock.
 //
-// Over TCP the message length field of the common header frames the stream (RFC 4666, 3.1.4); there is one stream, so
-// the stream rules of 1.4.7 do not apply.
+// Over TCP the message length field of the common header delimits the frames (RFC 4666, 3.1.4). There is only one stream, so
+// the rules for SCTP streams in 1.4.7 do not apply.
 package m3ua
 
 import (
@@ -17,14 +17,14 @@
 // HeaderLen is the length of the common header in octets (RFC 4666, 3.1).
 const HeaderLen = 8
 
-// MaxFrame bounds a frame in octets. An ISUP message has at most 272 octets (Q.703) and the longest message else is
-// one of SSNM; what claims to be longer is not read.
+// MaxFrame is the longest accepted frame in octets. An ISUP message has at most 272 octets (Q.703); the longest other message
+// is one of SSNM. A longer frame is an error of its stream.
 const MaxFrame = 4096
 
-// Kind is a message class in its high and a message type in its low octet (RFC 4666, 3.1.2 and 3.1.3).
+// Kind is a message class (high octet) and message type (low octet) (RFC 4666, 3.1.2 and 3.1.3).
 type Kind uint16
 
-// The messages (RFC 4666, 3.1.2).
+// The message classes and types (RFC 4666, 3.1.2).
 const (
 	ERR      Kind = 0x0000
 	NTFY     Kind = 0x0001
@@ -79,7 +79,7 @@
 	tagProtocolData          = 0x0210
 )
 
-// Error codes of ERR (RFC 4666, 3.8.1).
+// Error codes of ERR (RFC 4666, 3.8.1), and values of other parameters.
 const (
 	ErrInvalidVersion                 = 0x01
 	ErrUnsupportedMessageClass        = 0x03
@@ -103,24 +103,24 @@
 	ServiceISUP                  byte = 5 // service indicator of ISUP (Q.704, 14.2.1)
 )
 
-// ProtocolData is the content of the Protocol Data parameter (RFC 4666, 3.3.1): a routing label and user data.
+// ProtocolData is the content of the Protocol Data parameter (RFC 4666, 3.3.1): a routing label and user protocol data.
 type ProtocolData struct {
 	OPC, DPC uint32 // originating and destination point code
 	SI       byte   // service indicator
 	NI       byte   // network indicator
 	MP       byte   // message priority
 	SLS      byte   // signalling link selection
-	User     []byte // user data, for SI 5 an ISUP message from its CIC on
+	User     []byte // user protocol data; for SI 5, an ISUP message that begins with its CIC
 }
 
-// Affected is one affected point code; the mask wildcards its low bits (RFC 4666, 3.4.1).
+// Affected is one affected point code; Mask is the number of its low bits that are wildcards (RFC 4666, 3.4.1).
 type Affected struct {
 	Mask byte
 	PC   uint32
 }
 
-// Message is one message of any kind; only the fields of its kind count. After Decode all slices lie within the frame
-// and live as long as that.
+// Message is a message of any kind; only the fields of its kind are used. After Decode the byte slices refer to the frame and
+// are valid only as long as the frame is.
 type Message struct {
 	Kind              Kind
 	HasRoutingContext bool
@@ -138,7 +138,7 @@
 	InfoString        []byte
 }
 
-// Error tells why a frame is malformed, and with which code an ERR answers it.
+// Error says why a frame is malformed and which error code the ERR in reply carries.
 type Error struct {
 	Code   uint32 // error code of ERR
 	Offset int    // octet in the frame
@@ -147,35 +147,36 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("m3ua: octet %d: %s", e.Offset, e.Reason) }
 
-// ErrTooLong is returned by Length for a frame beyond MaxFrame, whose end cannot be found again.
-var ErrTooLong = errors.New("m3ua: message length beyond the bound")
+// ErrTooLong is returned by Length for a frame longer than MaxFrame. The stream is of no use after it, because the start of
+// the next frame is unknown.
+var ErrTooLong = errors.New("m3ua: message length exceeds the limit")
 
-// Length reads the length of the whole frame from its first HeaderLen octets. An error means that the stream cannot be
-// framed any longer: the length lies below the header or beyond MaxFrame.
+// Length reads the length of a frame, its header included, from its first HeaderLen octets. After an error the stream cannot
+// be divided into frames any more: the length is less than HeaderLen or greater than MaxFrame.
 func Length(header []byte) (int, error) {
 	length := binary.BigEndian.Uint32(header[4:8])
 	if length > MaxFrame {
 		return 0, ErrTooLong
 	}
 	if length < HeaderLen {
-		return 0, &Error{ErrProtocol, 4, fmt.Sprintf("message length %d below that of the header", length)}
+		return 0, &Error{ErrProtocol, 4, fmt.Sprintf("message length %d is less than that of the common header", length)}
 	}
 	return int(length), nil
 }
 
-// Decode reads one whole frame into m, whose slices are reused. Parameters that a kind does not have are skipped
-// (RFC 4666, 3.1: unexpected parameters are ignored). The error is an *Error.
+// Decode reads one complete frame into m and reuses its Affected slice. Parameters with an unknown tag are skipped (RFC 4666,
+// 3.1: unexpected parameters are ignored). The error is an *Error.
 func Decode(frame []byte, m *Message) error {
 	affected := m.Affected[:0]
 	*m = Message{Affected: affected}
 	if len(frame) < HeaderLen {
-		return &Error{ErrProtocol, 0, "shorter than the common header"}
+		return &Error{ErrProtocol, 0, "frame shorter than the common header"}
 	}
 	if frame[0] != Version {
-		return &Error{ErrInvalidVersion, 0, fmt.Sprintf("version %d", frame[0])}
+		return &Error{ErrInvalidVersion, 0, fmt.Sprintf("unsupported version %d", frame[0])}
 	}
 	if length, err := Length(frame); err != nil || length != len(frame) {
-		return &Error{ErrProtocol, 4, "the message length is not that of the frame"}
+		return &Error{ErrProtocol, 4, "message length differs from the length of the frame"}
 	}
 	m.Kind = Kind(frame[2])<<8 | Kind(frame[3])
 	if _, known := kindNames[m.Kind]; !known {
@@ -188,19 +189,19 @@
 	hasProtocolData := false
 	for offset := HeaderLen; offset < len(frame); {
 		if len(frame)-offset < 4 {
-			return &Error{ErrParameterFieldError, offset, "a parameter shorter than its header"}
+			return &Error{ErrParameterFieldError, offset, "parameter shorter than its header"}
 		}
 		tag := binary.BigEndian.Uint16(frame[offset:])
 		length := int(binary.BigEndian.Uint16(frame[offset+2:]))
 		if length < 4 || length > len(frame)-offset {
-			return &Error{ErrParameterFieldError, offset + 2, fmt.Sprintf("parameter %#04x of length %d", tag, length)}
+			return &Error{ErrParameterFieldError, offset + 2, fmt.Sprintf("parameter %#04x has invalid length %d", tag, length)}
 		}
 		value := frame[offset+4 : offset+length : offset+length]
 		if err := m.decodeParameter(tag, value, offset); err != nil {
 			return err
 		}
 		hasProtocolData = hasProtocolData || tag == tagProtocolData
-		offset += (length + 3) &^ 3 // the padding of the last parameter may be missing
+		offset += (length + 3) &^ 3 // tolerates missing padding after the last parameter
 	}
 	switch m.Kind {
 	case DATA:
@@ -209,7 +210,7 @@
 		}
 	case DUNA, DAVA, DAUD, SCON, DRST:
 		if len(m.Affected) == 0 {
-			return &Error{ErrMissingParameter, HeaderLen, m.Kind.String() + " without an affected point code"}
+			return &Error{ErrMissingParameter, HeaderLen, m.Kind.String() + " without Affected Point Code"}
 		}
 	}
 	return nil
@@ -218,7 +219,7 @@
 func (m *Message) decodeParameter(tag uint16, value []byte, offset int) error {
 	word := func() (uint32, error) {
 		if len(value) < 4 {
-			return 0, &Error{ErrParameterFieldError, offset, fmt.Sprintf("parameter %#04x has %d octets", tag, len(value))}
+			return 0, &Error{ErrParameterFieldError, offset, fmt.Sprintf("parameter %#04x is too short: %d octets", tag, len(value))}
 		}
 		return binary.BigEndian.Uint32(value), nil
 	}
@@ -248,7 +249,7 @@
 		m.InfoString = value
 	case tagAffectedPointCode:
 		if len(value)%4 != 0 {
-			return &Error{ErrParameterFieldError, offset, "affected point codes of odd length"}
+			return &Error{ErrParameterFieldError, offset, "length of Affected Point Code is not a multiple of 4"}
 		}
 		for ; len(value) > 0; value = value[4:] {
 			w := binary.BigEndian.Uint32(value)
@@ -256,14 +257,14 @@
 		}
 	case tagProtocolData:
 		if len(value) < 12 {
-			return &Error{ErrParameterFieldError, offset, "Protocol Data shorter than its routing label"}
+			return &Error{ErrParameterFieldError, offset, "Protocol Data shorter than the routing label"}
 		}
 		m.Data = ProtocolData{binary.BigEndian.Uint32(value), binary.BigEndian.Uint32(value[4:]), value[8], value[9], value[10], value[11], value[12:]}
 	}
 	return err
 }
 
-// Append writes m as one frame behind dst.
+// Append appends m, encoded as one frame, to dst.
 func Append(dst []byte, m *Message) []byte {
 	start := len(dst)
 	dst = append(dst, Version, 0, byte(m.Kind>>8), byte(m.Kind), 0, 0, 0, 0)
@@ -321,7 +322,7 @@
 	return pad(append(dst, value...), len(value))
 }
 
-// pad fills up to a multiple of four octets (RFC 4666, 3.2).
+// pad appends zeros to a parameter value of the given length up to a multiple of 4 octets (RFC 4666, 3.2).
 func pad(dst []byte, length int) []byte {
 	for ; length%4 != 0; length++ {
 		dst = append(dst, 0)
--- a/m3ua/m3ua_test.go
+++ b/m3ua/m3ua_test.go
@@ -21,7 +21,7 @@
 	return b
 }
 
-// The layouts of RFC 4666, 3.3 to 3.8, written out octet by octet.
+// Frames written octet by octet after the layouts in RFC 4666, 3.3 to 3.8.
 var sampleFrames = []struct {
 	name string
 	hex  string
@@ -44,7 +44,7 @@
 func TestCodecMatchesRFCLayouts(t *testing.T) {
 	for _, f := range sampleFrames {
 		b := unhex(t, f.hex)
-		if f.name == "DATA" { // its own length: 8 + 8 + 24
+		if f.name == "DATA" { // header, routing context and padded Protocol Data: 8 + 8 + 24 octets
 			binary.BigEndian.PutUint32(b[4:], uint32(len(b)))
 		}
 		var m Message
@@ -69,15 +69,15 @@
 		hex  string
 		code uint32
 	}{
-		"version":            {"02000303" + "00000008", ErrInvalidVersion},
-		"class":              {"01000903" + "00000008", ErrUnsupportedMessageClass},
-		"type":               {"01000309" + "00000008", ErrUnsupportedMessageType},
-		"length lies":        {"01000303" + "0000000c", ErrProtocol},
-		"parameter too long": {"01000303" + "00000010" + "000900ff" + "00000000", ErrParameterFieldError},
-		"parameter of 3":     {"01000303" + "00000010" + "00090003" + "00000000", ErrParameterFieldError},
-		"no data":            {"01000101" + "00000008", ErrMissingParameter},
-		"short label":        {"01000101" + "00000010" + "02100008" + "00000000", ErrParameterFieldError},
-		"DUNA of nothing":    {"01000201" + "00000008", ErrMissingParameter},
+		"version":                    {"02000303" + "00000008", ErrInvalidVersion},
+		"class":                      {"01000903" + "00000008", ErrUnsupportedMessageClass},
+		"type":                       {"01000309" + "00000008", ErrUnsupportedMessageType},
+		"wrong length":               {"01000303" + "0000000c", ErrProtocol},
+		"parameter too long":         {"01000303" + "00000010" + "000900ff" + "00000000", ErrParameterFieldError},
+		"parameter of 3 octets":      {"01000303" + "00000010" + "00090003" + "00000000", ErrParameterFieldError},
+		"DATA without Protocol Data": {"01000101" + "00000008", ErrMissingParameter},
+		"short routing label":        {"01000101" + "00000010" + "02100008" + "00000000", ErrParameterFieldError},
+		"DUNA without point code":    {"01000201" + "00000008", ErrMissingParameter},
 	} {
 		var m Message
 		err := Decode(unhex(t, c.hex), &m)
@@ -88,7 +88,8 @@
 	}
 }
 
-// A frame split over reads of one octet, many frames in one read, and a length field that lies.
+// TestScannerFramesAnyReadSizes guards against frames that are lost or merged when reads and frames do not coincide, and
+// against a wrong length field being accepted.
 func TestScannerFramesAnyReadSizes(t *testing.T) {
 	var stream []byte
 	for _, f := range sampleFrames[1:] {
@@ -107,24 +108,25 @@
 			}
 		}
 		if _, err := s.Next(); err != io.EOF {
-			t.Errorf("%s: ended with %v", name, err)
+			t.Errorf("%s: the stream ended with error %v, want io.EOF", name, err)
 		}
 	}
 	if _, err := NewScanner(bytes.NewReader(unhex(t, "0100030300ffffff"))).Next(); err != ErrTooLong {
-		t.Errorf("a length of 16 million gives %v", err)
+		t.Errorf("a length of 16 million octets gives %v, want ErrTooLong", err)
 	}
 	if _, err := NewScanner(bytes.NewReader(unhex(t, "0100030300000002"))).Next(); err == nil {
-		t.Error("a length below the header passes")
+		t.Error("a length below that of the common header is accepted")
 	}
 	if _, err := NewScanner(bytes.NewReader(stream[:len(stream)-3])).Next(); err != nil {
 		t.Error(err)
 	}
 	if _, err := NewScanner(bytes.NewReader(stream[:13])).Next(); err != io.ErrUnexpectedEOF {
-		t.Errorf("a cut frame gives %v", err)
+		t.Errorf("a truncated frame gives %v, want io.ErrUnexpectedEOF", err)
 	}
 }
 
-// A long stream crosses the end of the scanner's buffer at every offset.
+// TestScannerCompactsBuffer reads a stream much longer than the scanner's buffer. It guards against octets that are lost or
+// doubled when the rest of the buffer moves to its start.
 func TestScannerCompactsBuffer(t *testing.T) {
 	var stream []byte
 	for i := range 5000 {
@@ -154,10 +156,10 @@
 		}
 		once := Append(nil, &m)
 		if err := Decode(once, &again); err != nil {
-			t.Fatalf("what was written cannot be read: %v\n%x\n%x", err, b, once)
+			t.Fatalf("the encoded message cannot be decoded: %v\n%x\n%x", err, b, once)
 		}
 		if twice := Append(nil, &again); !bytes.Equal(once, twice) {
-			t.Fatalf("written differently the second time:\n%x\n%x", once, twice)
+			t.Fatalf("decoding and encoding again changes the frame:\n%x\n%x", once, twice)
 		}
 	})
 }
@@ -170,7 +172,7 @@
 			x, err := one.Next()
 			y, err2 := many.Next()
 			if !bytes.Equal(x, y) || err != err2 && (err == nil || err2 == nil) {
-				t.Fatalf("%x %v but %x %v", x, err, y, err2)
+				t.Fatalf("read at once: %x %v, octet by octet: %x %v", x, err, y, err2)
 			}
 			if err != nil {
 				return
@@ -179,7 +181,7 @@
 	})
 }
 
-// pair joins an ASP and an SGP and carries their frames at once.
+// linkedPair is an ASP and an SGP; exchangeFrames passes their frames to each other without delay.
 type linkedPair struct {
 	t        *testing.T
 	asp, sgp *ASP
@@ -221,21 +223,22 @@
 	if p.asp.State() != Active || p.sgp.State() != Active || p.sgp.ID() != 7 {
 		t.Fatalf("asp %v, sgp %v with id %d", p.asp.State(), p.sgp.State(), p.sgp.ID())
 	}
-	for range 100 { // heartbeats keep it up
+	for range 100 { // acknowledged heartbeats keep the association active
 		p.now = min(p.asp.NextDeadline(), p.sgp.NextDeadline())
 		if p.asp.Tick(p.now) != Nothing || p.sgp.Tick(p.now) != Nothing {
-			t.Fatalf("broke at %v", p.now)
+			t.Fatalf("association failed at %v", p.now)
 		}
 		p.exchangeFrames()
 	}
 	p.asp.Close()
 	p.exchangeFrames()
 	if p.sgp.State() != Down {
-		t.Error("ASPDN leaves the other end up")
+		t.Error("the SGP is not down after ASPDN")
 	}
 }
 
-// A peer that accepts the connection and never answers ASPUP is given up.
+// TestPeerWithoutRequestOrAckFails guards against an association that waits forever for a peer that opened or accepted the
+// connection but sends neither a request nor an acknowledgement.
 func TestPeerWithoutRequestOrAckFails(t *testing.T) {
 	for name, a := range map[string]*ASP{"asp": NewASP(Timers{Beat: time.Hour}, 1, 1, 0), "sgp": NewSGP(Timers{Beat: time.Hour}, 0)} {
 		var now time.Duration
@@ -245,43 +248,44 @@
 				t.Fatalf("%s: no progress at %v", name, now)
 			}
 			if now = next; now > 10*time.Second {
-				t.Fatalf("%s: still waits after %v", name, now)
+				t.Fatalf("%s: still waiting for the peer after %v", name, now)
 			}
 		}
 	}
 }
 
-// A peer that falls silent in mid-life is given up after the limit, and not before.
+// TestBeatLimitFailsSilentPeer: a peer from which nothing is received fails after BeatLimit, and not before.
 func TestBeatLimitFailsSilentPeer(t *testing.T) {
 	p := &linkedPair{t: t, asp: NewASP(Timers{Beat: time.Second}, 1, 1, 0), sgp: NewSGP(Timers{}, 0)}
 	p.exchangeFrames()
 	for p.now = 0; p.now < 1900*time.Millisecond; p.now += 100 * time.Millisecond {
 		if p.asp.Tick(p.now) != Nothing {
-			t.Fatal("given up too soon")
+			t.Fatal("association failed before the beat limit of 2 s")
 		}
 	}
 	p.now = 2 * time.Second
 	if p.asp.Tick(p.now) != Failed {
-		t.Error("a peer silent for twice the beat is kept")
+		t.Error("association still up after 2 s without any message, twice the heartbeat interval")
 	}
 }
 
-// Before it is active nothing of traffic is delivered, and a second ASPUP of an active ASP stops traffic.
+// TestServerRefusesTrafficOutsideActiveState: no DATA is delivered before the ASP is active, and an ASPUP from an active ASP,
+// which means that it has restarted, stops its traffic.
 func TestServerRefusesTrafficOutsideActiveState(t *testing.T) {
 	g := NewSGP(Timers{}, 0)
 	if o := g.Handle(0, &Message{Kind: DATA}); o != Nothing || len(g.Out) == 0 {
-		t.Errorf("DATA of an ASP that is down: %v", o)
+		t.Errorf("DATA from an ASP that is down: outcome %v, want Nothing and an ERR", o)
 	}
 	g.Handle(0, &Message{Kind: ASPUP})
 	if g.Handle(0, &Message{Kind: ASPAC}) != Activated {
 		t.Fatal("not activated")
 	}
 	if g.Handle(0, &Message{Kind: ASPUP}) != Deactivated || g.State() != Inactive {
-		t.Error("an ASPUP in state active is overlooked")
+		t.Error("an ASPUP from an active ASP does not stop its traffic")
 	}
 }
 
-// plainDecode is the decoder that would be written first: parameters in a map, each value copied.
+// referenceDecode is a simple decoder for comparison in benchmarks: it copies each parameter value into a map.
 func referenceDecode(frame []byte) (map[uint16][]byte, ProtocolData) {
 	params := map[uint16][]byte{}
 	for at := HeaderLen; at+4 <= len(frame); {
@@ -295,7 +299,7 @@
 
 func BenchmarkDecode(b *testing.B) {
 	frame := Append(nil, &Message{Kind: DATA, HasRoutingContext: true, RoutingContext: 1, Data: ProtocolData{OPC: 1, DPC: 2, SI: 5, User: make([]byte, 50)}})
-	b.Run("here", func(b *testing.B) {
+	b.Run("Decode", func(b *testing.B) {
 		b.ReportAllocs()
 		var m Message
 		for b.Loop() {
@@ -304,7 +308,7 @@
 			}
 		}
 	})
-	b.Run("plain", func(b *testing.B) {
+	b.Run("reference", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			referenceDecode(frame)
--- a/m3ua/scan.go
+++ b/m3ua/scan.go
@@ -4,8 +4,8 @@
 	"io"
 )
 
-// Scanner cuts a stream into frames. Its buffer holds one frame at the least and MaxFrame octets at the most, so a peer
-// that never ends a frame costs no more than that.
+// Scanner divides a stream into frames. Its buffer has a fixed size of at least MaxFrame, so a peer that never completes a
+// frame costs no more memory.
 type Scanner struct {
 	reader io.Reader
 	buf    []byte
@@ -13,13 +13,13 @@
 	end    int
 }
 
-// NewScanner makes a Scanner that reads from r.
+// NewScanner returns a Scanner that reads from reader.
 func NewScanner(reader io.Reader) *Scanner {
 	return &Scanner{reader: reader, buf: make([]byte, 16*1024)}
 }
 
-// Next returns the next frame, which lives until the next call. It returns io.EOF at the end of the stream between two
-// frames, io.ErrUnexpectedEOF within one, and the error of Length when the stream cannot be framed.
+// Next returns the next frame, which is valid until the next call. It returns io.EOF when the stream ends between two frames,
+// io.ErrUnexpectedEOF when it ends within one, and the error of Length for an invalid message length.
 func (s *Scanner) Next() ([]byte, error) {
 	for {
 		if buffered := s.end - s.start; buffered >= HeaderLen {
@@ -48,7 +48,8 @@
 	}
 }
 
-// Buffered tells whether a further whole frame is at hand without a read.
+// Buffered reports whether Next can return without reading from the stream: a complete frame is buffered, or an invalid
+// message length.
 func (s *Scanner) Buffered() bool {
 	buffered := s.end - s.start
 	if buffered < HeaderLen {
