--- a/isup/compat.go
+++ b/isup/compat.go
@@ -1,28 +1,28 @@
 package isup
 
-// CompatAction is what is done about a message with unknown parts (Q.764, 2.9.5).
+// CompatAction is the action required for a message with unrecognised parameters (Q.764, 2.9.5).
 type CompatAction uint8
 
-// The verdicts.
+// The actions.
 const (
 	Accept      CompatAction = iota
-	Discard                  // the message is dropped
-	ReleaseCall              // the call is released, cause 99
+	Discard                  // discard the message
+	ReleaseCall              // release the call with cause 99
 )
 
 // Bits of an instruction indicator (Q.763, 3.40 and 3.41).
 const (
-	instructionEndNodeOnly      = 0x01 // interpreted by end exchanges only
+	instructionEndNodeOnly      = 0x01 // for end exchanges only
 	instructionReleaseCall      = 0x02
 	instructionSendNotification = 0x04
-	instructionDiscardMessage   = 0x08 // the message
-	instructionDiscardParameter = 0x10 // the parameter
+	instructionDiscardMessage   = 0x08
+	instructionDiscardParameter = 0x10
 )
 
-// CheckUnknown acts on the optional parameters that this package does not interpret as their compatibility information says:
-// some are dropped from m, or the whole message or call must be. A parameter without instructions is passed on as it
-// is, so that what the two ends agree on crosses this exchange (Q.764, 2.9.5.3.2). transit: the message is on its way
-// through, where an instruction for end exchanges only does not count.
+// CheckUnknown applies the parameter compatibility information to the optional parameters that this package does not
+// interpret. It removes parameters that must be discarded from m, and returns the action for the whole message. A parameter
+// without instructions stays in m unchanged, so that parameters known only to the two ends cross this exchange (Q.764,
+// 2.9.5.3.2). If transit is set, this exchange is not an end of the call: instructions for end exchanges do not apply.
 func CheckUnknown(m *Message, transit bool) CompatAction {
 	if len(m.Compat) == 0 || len(m.Optional) == 0 {
 		return Accept
@@ -48,8 +48,8 @@
 	return action
 }
 
-// instruction finds the instruction indicators of a parameter: a list of pairs, each with octets until one has its
-// extension bit set (Q.763, 3.41).
+// findInstruction returns the first octet of instruction indicators for a parameter code. compat is a list of entries: an
+// upgraded parameter code, then octets of indicators up to and including one with its extension bit set (Q.763, 3.41).
 func findInstruction(compat []byte, code byte) (byte, bool) {
 	for i := 0; i+1 < len(compat); {
 		upgraded := compat[i]
--- a/isup/isup.go
+++ b/isup/isup.go
@@ -1,5 +1,5 @@
-// Package isup holds the ISDN User Part messages that call control uses, in the formats of Q.763, and the handling of
-// unknown parameters of Q.764. It knows nothing of calls.
+// Package isup encodes and decodes the ISDN User Part messages that call control uses (Q.763) and handles unrecognised
+// parameters (Q.764). It keeps no state of calls or circuits.
 package isup
 
 import (
@@ -60,13 +60,13 @@
 // MaxCIC is the highest circuit identification code (12 bits; Q.763, 1.2).
 const MaxCIC = 1<<12 - 1
 
-// MaxRange is the most circuits that one group message can name: GRS, CQM (range up to 31: 32 circuits; Q.763, 3.43).
+// MaxRange is the largest number of circuits in one circuit group message (a range field of 31 means 32 circuits; Q.763, 3.43).
 const MaxRange = 32
 
 // Category is a calling party's category (Q.763, 3.11).
 type Category byte
 
-// The categories that matter here.
+// The categories in use.
 const (
 	CategoryOrdinary Category = 0x0a
 	CategoryPriority Category = 0x0b
@@ -99,7 +99,7 @@
 	CauseProtocolError         Cause = 111
 )
 
-// Location tells who released (Q.850, 2.2.3).
+// Location says where a cause was generated (Q.850, 2.2.3).
 type Location byte
 
 // The locations in use.
@@ -109,37 +109,37 @@
 	LocationTransit Location = 3
 )
 
-// States of a circuit in CQR (Q.763, 3.14). The transient ones and those of blocking are not told apart here.
+// Circuit states in CQR (Q.763, 3.14). The different transient states, and the blocking states, are not distinguished.
 const (
 	CircuitTransient  = 0x00
 	CircuitUnequipped = 0x03
-	CircuitIncoming   = 0x04 // call processing state: circuit incoming busy
-	CircuitOutgoing   = 0x08 // circuit outgoing busy
+	CircuitIncoming   = 0x04 // call processing state "circuit incoming busy"
+	CircuitOutgoing   = 0x08 // call processing state "circuit outgoing busy"
 	CircuitIdle       = 0x0c
 	CircuitStateMask  = 0x0c
 )
 
-// Supervision is the type indicator of circuit group blocking (Q.763, 3.13).
+// Supervision is the circuit group supervision message type indicator (Q.763, 3.13).
 type Supervision byte
 
-// The types: hardware failure releases the calls, maintenance leaves them.
+// The types of circuit group blocking. Hardware failure releases the calls on the circuits, maintenance does not.
 const (
 	Maintenance Supervision = 0
 	Hardware    Supervision = 1
 )
 
-// Number is an address of up to 24 digits. It can be compared and used as a key.
+// Number is an address of up to 24 digits. It is comparable and can be used as a map key.
 type Number struct {
 	Nature byte // nature of address: 3 national, 4 international (Q.763, 3.9)
 	n      uint8
 	bcd    [12]byte
 }
 
-// ParseNumber reads digits: 0 to 9 and the signals ST (f), code 11 (b) and code 12 (c). Others are an error.
+// ParseNumber parses an address of the digits 0 to 9 and the signals code 11 (b), code 12 (c) and ST (f).
 func ParseNumber(nature byte, digits string) (Number, error) {
 	number := Number{Nature: nature}
 	if len(digits) > 2*len(number.bcd) {
-		return number, fmt.Errorf("isup: a number of %d digits", len(digits))
+		return number, fmt.Errorf("isup: number of %d digits exceeds the limit of 24", len(digits))
 	}
 	for i := range len(digits) {
 		var value byte
@@ -149,7 +149,7 @@
 		case digit == 'b' || digit == 'c' || digit == 'f':
 			value = digit - 'a' + 10
 		default:
-			return number, fmt.Errorf("isup: %q is no digit", digit)
+			return number, fmt.Errorf("isup: invalid digit %q in a number", digit)
 		}
 		number.bcd[i/2] |= value << (4 * (i % 2))
 		number.n++
@@ -157,13 +157,13 @@
 	return number, nil
 }
 
-// Len is the number of digits.
+// Len returns the number of digits.
 func (n Number) Len() int { return int(n.n) }
 
-// Digit is the digit at i.
+// Digit returns the digit at index i, from 0.
 func (n Number) Digit(i int) byte { return n.bcd[i/2] >> (4 * (i % 2)) & 15 }
 
-// AppendDigits writes the digits behind b.
+// AppendDigits appends the digits to b as text.
 func (n Number) AppendDigits(b []byte) []byte {
 	for i := range n.Len() {
 		b = append(b, "0123456789abcdef"[n.Digit(i)])
@@ -173,7 +173,7 @@
 
 func (n Number) String() string { return string(n.AppendDigits(make([]byte, 0, 24))) }
 
-// decodeNumber reads the address signals from a called or calling party number, whose first two octets it has.
+// decodeNumber decodes a called or calling party number, which must have at least its two octets of indicators.
 func decodeNumber(value []byte) (Number, error) {
 	number := Number{Nature: value[0] & 0x7f}
 	digits := 2 * (len(value) - 2)
@@ -186,7 +186,7 @@
 	number.n = uint8(digits)
 	copy(number.bcd[:], value[2:])
 	if digits%2 == 1 {
-		number.bcd[digits/2] &= 0x0f // the filler is no digit
+		number.bcd[digits/2] &= 0x0f // clears the filler
 	}
 	return number, nil
 }
@@ -204,18 +204,19 @@
 
 // CallReference identifies a call independently of its circuits (Q.763, 3.8).
 type CallReference struct {
-	ID uint32 // 24 bits
-	PC uint16 // signalling point that gave the identity, 14 bits
+	ID uint32 // call identity, 24 bits
+	PC uint16 // point code of the signalling point that assigned the identity, 14 bits
 }
 
-// Message is one ISUP message; only the fields of its type count. Slices of a decoded message lie within its octets.
+// Message is an ISUP message; only the fields of its type are used. The byte slices of a decoded message refer to the octets
+// that it was decoded from.
 type Message struct {
 	CIC  uint16
 	Type Type
 
 	// IAM
-	NatureOfConnection  byte // nature of connection indicators (Q.763, 3.35)
-	ForwardIndicators   uint16
+	NatureOfConnection  byte   // nature of connection indicators (Q.763, 3.35)
+	ForwardIndicators   uint16 // forward call indicators (Q.763, 3.23)
 	Category            Category
 	TransmissionMedium  byte // transmission medium requirement (Q.763, 3.54)
 	Called              Number
@@ -229,19 +230,19 @@
 	PropagationDelay    uint16 // propagation delay counter, in milliseconds (Q.763, 3.42)
 	BackwardIndicators  uint16 // ACM, CON: backward call indicators (Q.763, 3.5)
 	EventInformation    byte   // CPG: event information (Q.763, 3.21)
-	Cause               Cause  // REL, and what else has cause indicators
+	Cause               Cause  // REL, and other messages with cause indicators
 	Location            Location
 	CongestionLevel     byte // REL: automatic congestion level, 1 or 2; 0: not given (Q.763, 3.4)
 	Supervision         Supervision
-	Range               byte   // group messages: circuits beyond the first
-	Status              []byte // one bit a circuit, from the lowest on
-	Circuits            []byte // CQR: one octet a circuit
+	Range               byte   // circuit group messages: the number of circuits less one
+	Status              []byte // one bit for each circuit, the lowest bit first
+	Circuits            []byte // CQR: one octet of circuit state for each circuit
 
 	Compat   []byte // parameter compatibility information (Q.763, 3.41)
 	Optional []Optional
 }
 
-// Error tells where a message is malformed.
+// Error says where and why a message is malformed.
 type Error struct {
 	Type   Type
 	Offset int
@@ -277,16 +278,16 @@
 	}
 }
 
-// Known tells whether the type is one of this package's.
+// Known reports whether this package can decode messages of the type.
 func Known(t Type) bool { return layoutTable[t].known }
 
-// Decode reads the octets from the CIC on into m, whose slices are reused. The error is an *Error; for a type that is
-// not known m has its CIC and type, and the caller acts on Compatibility (Q.764, 2.9.5.2).
+// Decode decodes a message, which begins with the CIC, into m and reuses its Optional slice. The error is an *Error. For an
+// unknown message type, which Q.764, 2.9.5.2 covers, m has only its CIC and type.
 func Decode(b []byte, m *Message) error {
 	parameters := m.Optional[:0]
 	*m = Message{Optional: parameters}
 	if len(b) < 3 {
-		return &Error{0, 0, "shorter than CIC and message type"}
+		return &Error{0, 0, "message shorter than CIC and message type"}
 	}
 	m.CIC = binary.LittleEndian.Uint16(b) & MaxCIC
 	m.Type = Type(b[2])
@@ -296,7 +297,7 @@
 	}
 	offset := 3
 	if len(b) < offset+l.fixed {
-		return &Error{m.Type, offset, "the mandatory fixed part is cut off"}
+		return &Error{m.Type, offset, "mandatory fixed part truncated"}
 	}
 	fixedPart := b[offset:]
 	switch m.Type {
@@ -316,10 +317,10 @@
 		pointers++
 	}
 	if len(b) < offset+pointers {
-		if l.variable == 0 && len(b) == offset { // a message without even its pointer: nothing optional follows
+		if l.variable == 0 && len(b) == offset { // tolerates a missing pointer to the optional part
 			return nil
 		}
-		return &Error{m.Type, offset, "a pointer is cut off"}
+		return &Error{m.Type, offset, "pointer truncated"}
 	}
 	for i := range l.variable {
 		value, err := variable(b, offset+i, m.Type)
@@ -336,11 +337,11 @@
 	return nil
 }
 
-// variable follows the pointer at p to a parameter's content.
+// variable returns the content of the mandatory variable parameter whose pointer is at the index pointer of b.
 func variable(b []byte, pointer int, messageType Type) ([]byte, error) {
 	offset := pointer + int(b[pointer])
 	if b[pointer] == 0 || offset >= len(b) || offset+1+int(b[offset]) > len(b) {
-		return nil, &Error{messageType, pointer, "a pointer or length leads beyond the end"}
+		return nil, &Error{messageType, pointer, "pointer or length exceeds the message"}
 	}
 	return b[offset+1 : offset+1+int(b[offset])], nil
 }
@@ -349,7 +350,7 @@
 	switch m.Type {
 	case IAM:
 		if len(value) < 2 {
-			return "a called party number without its indicators"
+			return "called party number without its indicators"
 		}
 		number, err := decodeNumber(value)
 		if err != nil {
@@ -367,18 +368,18 @@
 			return ""
 		}
 		if len(value) < 1 {
-			return "no range"
+			return "range and status parameter is empty"
 		}
 		m.Range, m.Status = value[0], value[1:]
 		withStatus := m.Type != GRS && m.Type != CQM && m.Type != CQR
 		if withStatus && len(m.Status) < (int(m.Range)+8)/8 {
-			return "a status field too short for its range"
+			return "status field too short for its range"
 		}
 		if m.Type != GRS && m.Type != GRA && m.Range == 0 && withStatus {
-			return "range 0"
+			return "range 0 is not allowed in this message type"
 		}
 		if int(m.Range) >= MaxRange {
-			return fmt.Sprintf("range %d", m.Range)
+			return fmt.Sprintf("range %d exceeds 31", m.Range)
 		}
 	}
 	return ""
@@ -390,7 +391,7 @@
 	}
 	m.Location = Location(value[0] & 15)
 	index := 1
-	if value[0]&0x80 == 0 { // an octet of recommendation lies between
+	if value[0]&0x80 == 0 { // the octet with the recommendation precedes the cause value
 		index = 2
 	}
 	m.Cause = Cause(value[index] & 0x7f)
@@ -400,14 +401,14 @@
 func (m *Message) decodeOptional(b []byte, offset int) error {
 	for {
 		if offset >= len(b) {
-			return &Error{m.Type, offset, "the optional part has no end"}
+			return &Error{m.Type, offset, "optional part without its end octet"}
 		}
 		code := b[offset]
 		if code == 0 {
 			return nil
 		}
 		if offset+2 > len(b) || offset+2+int(b[offset+1]) > len(b) {
-			return &Error{m.Type, offset, fmt.Sprintf("optional parameter %#02x is cut off", code)}
+			return &Error{m.Type, offset, fmt.Sprintf("optional parameter %#02x truncated", code)}
 		}
 		value := b[offset+2 : offset+2+int(b[offset+1])]
 		shorter := func(n int) bool { return len(value) < n }
@@ -444,13 +445,13 @@
 			m.Optional = append(m.Optional, Optional{code, value})
 		}
 		if invalid {
-			return &Error{m.Type, offset, fmt.Sprintf("optional parameter %#02x of %d octets", code, len(value))}
+			return &Error{m.Type, offset, fmt.Sprintf("optional parameter %#02x with invalid content of %d octets", code, len(value))}
 		}
 		offset += 2 + int(b[offset+1])
 	}
 }
 
-// Append writes m behind dst.
+// Append appends m, encoded, to dst.
 func Append(dst []byte, m *Message) []byte {
 	dst = append(dst, byte(m.CIC), byte(m.CIC>>8), byte(m.Type))
 	l := layoutTable[m.Type]
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases at every run; other seeds by hand: go test -args -rapid.seed=N -rapid.checks=N.
+// Fixes the seed, so that each run draws the same cases. Others: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
 func mustParseNumber(t testing.TB, digits string) Number {
@@ -22,12 +22,12 @@
 	return n
 }
 
-// Each message written out by the tables of Q.763: CIC, type, fixed part, pointers, variable part, optional part.
+// Messages written octet by octet after the tables of Q.763: CIC, type, fixed part, pointers, variable part, optional part.
 var samples = []struct {
 	name, hex string
 	msg       Message
 }{
-	{"IAM", "2301" + "01" + "00" + "6000" + "0a" + "03" + "02" + "07" + "05" + "84" + "10" + "214305" + // odd: 5 digits
+	{"IAM", "2301" + "01" + "00" + "6000" + "0a" + "03" + "02" + "07" + "05" + "84" + "10" + "214305" + // odd number of digits: 5
 		"0a04" + "0413" + "8967" + "0105" + "010203" + "0510" + "3d01" + "14" + "00",
 		Message{CIC: 0x123, Type: IAM, ForwardIndicators: 0x60, Category: CategoryOrdinary, TransmissionMedium: 3, HasCalling: true, HasRef: true,
 			Ref: CallReference{0x010203, 0x1005}, HasHops: true, Hops: 20}},
@@ -75,7 +75,8 @@
 	}
 }
 
-// Every message cut off anywhere is refused or read, and never read past its end.
+// TestTruncatedAndInconsistentMessagesAreRefused guards against a read past the end of a message that is truncated at any
+// octet, and against pointers, lengths and ranges that do not fit the message being accepted.
 func TestTruncatedAndInconsistentMessagesAreRefused(t *testing.T) {
 	var m Message
 	for _, s := range samples {
@@ -84,23 +85,23 @@
 			cut := append(make([]byte, 0, n), b[:n]...)
 			err := Decode(cut, &m)
 			if n < 3 && err == nil {
-				t.Errorf("%s cut to %d octets passes", s.name, n)
+				t.Errorf("%s truncated to %d octets is accepted", s.name, n)
 			}
 		}
 	}
 	for problem, encoded := range map[string]string{
-		"pointer beyond":     "0100" + "0c" + "0900" + "02" + "84aa",
-		"no end of options":  "0100" + "0c" + "0204" + "02" + "84aa" + "270102",
-		"option too long":    "0100" + "09" + "01" + "27ff02" + "00",
-		"range of 40":        "0100" + "17" + "01" + "01" + "28",
-		"states too few":     "0100" + "2b" + "0203" + "01" + "01" + "01" + "0c",
-		"status too short":   "0100" + "18" + "01" + "01" + "02" + "1f" + "05",
-		"unknown type":       "0100" + "99",
-		"cause of one octet": "0100" + "0c" + "0200" + "01" + "84",
+		"pointer past the end":          "0100" + "0c" + "0900" + "02" + "84aa",
+		"no end of optional parameters": "0100" + "0c" + "0204" + "02" + "84aa" + "270102",
+		"optional parameter too long":   "0100" + "09" + "01" + "27ff02" + "00",
+		"range of 40":                   "0100" + "17" + "01" + "01" + "28",
+		"too few circuit states":        "0100" + "2b" + "0203" + "01" + "01" + "01" + "0c",
+		"status too short":              "0100" + "18" + "01" + "01" + "02" + "1f" + "05",
+		"unknown type":                  "0100" + "99",
+		"cause of one octet":            "0100" + "0c" + "0200" + "01" + "84",
 	} {
 		b, _ := hex.DecodeString(encoded)
 		if err := Decode(b, &m); err == nil {
-			t.Errorf("%s passes", problem)
+			t.Errorf("%s: accepted", problem)
 		}
 	}
 }
@@ -108,17 +109,18 @@
 func TestParseNumberRoundTripsAndRefusesOtherSigns(t *testing.T) {
 	for _, d := range []string{"", "1", "12", "123456789012345678901234", "0bcf"} {
 		if n := mustParseNumber(t, d); n.String() != d || n.Len() != len(d) {
-			t.Errorf("%q reads as %q", d, n)
+			t.Errorf("%q parsed as %q", d, n)
 		}
 	}
 	for _, d := range []string{"12 3", "a", "1234567890123456789012345"} {
 		if _, err := ParseNumber(4, d); err == nil {
-			t.Errorf("%q passes", d)
+			t.Errorf("%q accepted as a number", d)
 		}
 	}
 }
 
-// Unknown optional parameters pass, or are dropped, or end the call, as their instructions say (Q.764, 2.9.5.3).
+// TestUnknownParametersFollowInstructions: unrecognised optional parameters are passed on or discarded, or the message is
+// discarded or the call released, as their instruction indicators require (Q.764, 2.9.5.3).
 func TestUnknownParametersFollowInstructions(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -128,17 +130,17 @@
 		kept    int
 	}{
 		{"no instructions", nil, false, Accept, 2},
-		{"others' instructions", []byte{0x70, 0x90}, false, Accept, 2},
-		{"drop the parameter", []byte{0x71, 0x90}, false, Accept, 1},
-		{"drop the message", []byte{0x71, 0x88}, false, Discard, 2},
-		{"release", []byte{0x71, 0x82}, false, ReleaseCall, 2},
-		{"release, but for end exchanges", []byte{0x71, 0x83}, true, Accept, 2},
-		{"two octets of instructions, then ours", []byte{0x70, 0x00, 0x80, 0x71, 0x90}, false, Accept, 1},
-		{"cut off", []byte{0x71}, false, Accept, 2},
+		{"instructions for another parameter", []byte{0x70, 0x90}, false, Accept, 2},
+		{"discard the parameter", []byte{0x71, 0x90}, false, Accept, 1},
+		{"discard the message", []byte{0x71, 0x88}, false, Discard, 2},
+		{"release the call", []byte{0x71, 0x82}, false, ReleaseCall, 2},
+		{"release the call, for end exchanges only", []byte{0x71, 0x83}, true, Accept, 2},
+		{"after an entry with two octets of instructions", []byte{0x70, 0x00, 0x80, 0x71, 0x90}, false, Accept, 1},
+		{"truncated instructions", []byte{0x71}, false, Accept, 2},
 	} {
 		m := Message{Type: IAM, Compat: c.compat, Optional: []Optional{{0x71, nil}, {0x72, []byte{1}}}}
 		if got := CheckUnknown(&m, c.transit); got != c.want || len(m.Optional) != c.kept {
-			t.Errorf("%s: verdict %v with %d parameters kept, want %v with %d", c.name, got, len(m.Optional), c.want, c.kept)
+			t.Errorf("%s: action %v with %d parameters left, want %v with %d", c.name, got, len(m.Optional), c.want, c.kept)
 		}
 	}
 }
@@ -167,7 +169,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(Append(nil, &got), Append(nil, &m)) || got.Called != m.Called || got.Ref != m.Ref {
-			t.Fatalf("%+v became %+v", m, got)
+			t.Fatalf("%+v was decoded as %+v", m, got)
 		}
 	})
 }
@@ -185,15 +187,15 @@
 		CheckUnknown(&m, false)
 		once := Append(nil, &m)
 		if err := Decode(once, &again); err != nil {
-			t.Fatalf("what was written cannot be read: %v\n%x\n%x", err, b, once)
+			t.Fatalf("the encoded message cannot be decoded: %v\n%x\n%x", err, b, once)
 		}
 		if twice := Append(nil, &again); !bytes.Equal(once, twice) {
-			t.Fatalf("written differently the second time:\n%x\n%x", once, twice)
+			t.Fatalf("decoding and encoding again changes the message:\n%x\n%x", once, twice)
 		}
 	})
 }
 
-// plain is the decoder that would be written first: parameters in a map, numbers as strings.
+// referenceDecode is a simple decoder for comparison in benchmarks: it copies parameters into a map and numbers into strings.
 func referenceDecode(b []byte) (map[byte][]byte, string) {
 	params := map[byte][]byte{}
 	v := b[9+int(b[8])-1:]
@@ -212,7 +214,7 @@
 	m := Message{CIC: 5, Type: IAM, Called: mustParseNumber(b, "82105550123456"), HasCalling: true, Calling: mustParseNumber(b, "82105550999999"),
 		HasRef: true, Ref: CallReference{7, 9}, HasHops: true, Hops: 10}
 	frame := Append(nil, &m)
-	b.Run("here", func(b *testing.B) {
+	b.Run("Decode", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			if err := Decode(frame, &m); err != nil {
@@ -220,7 +222,7 @@
 			}
 		}
 	})
-	b.Run("plain", func(b *testing.B) {
+	b.Run("reference", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			referenceDecode(frame)
