--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -11,14 +11,14 @@
 	"github.com/umbergauge/umbergauge/policy"
 )
 
-// args are the values of one message. The first thing wrong with them stays in err.
+// inputMessage is one received message: its name and values. Its methods decode single values and record the first error in err.
 type inputMessage struct {
 	name   string
 	values []*fastjson.Value
 	err    error
 }
 
-// message parses one line.
+// parseMessage parses one line: an array of a name and values.
 func (h *host) parseMessage(text []byte) (*inputMessage, error) {
 	values, err := h.parser.ParseBytes(text)
 	if err != nil {
@@ -26,12 +26,12 @@
 	}
 	list, err := values.Array()
 	if err != nil || len(list) == 0 || list[0].Type() != fastjson.TypeString {
-		return nil, errors.New("not a message: an array that begins with a name is wanted")
+		return nil, errors.New("not a message: expected an array that begins with a name")
 	}
 	return &inputMessage{name: string(list[0].GetStringBytes()), values: list[1:]}, nil
 }
 
-// clip keeps foreign text short enough for a message of one line.
+// clip quotes received text for an error message and shortens it to 40 octets.
 func clip(s string) string {
 	if len(s) > 40 {
 		s = s[:40] + "..."
@@ -39,19 +39,21 @@
 	return fmt.Sprintf("%q", s)
 }
 
+// fail records an error unless there is one already.
 func (a *inputMessage) fail(format string, values ...any) {
 	if a.err == nil {
 		a.err = fmt.Errorf(format, values...)
 	}
 }
 
+// requireValues records an error if the message has fewer than n values.
 func (a *inputMessage) requireValues(n int) {
 	if len(a.values) < n {
-		a.fail("%s has %d values, %d are wanted", clip(a.name), len(a.values), n)
+		a.fail("%s has %d values, expected at least %d", clip(a.name), len(a.values), n)
 	}
 }
 
-// value is value i, or nil where it is missing or null.
+// value returns value i, or nil if it is missing or null.
 func (a *inputMessage) value(i int) *fastjson.Value {
 	if i >= len(a.values) || a.values[i].Type() == fastjson.TypeNull {
 		return nil
@@ -59,7 +61,7 @@
 	return a.values[i]
 }
 
-// number reads an optional number.
+// optionalNumber returns value i as a number of at most 1e15 in magnitude, or missing if there is none.
 func (a *inputMessage) optionalNumber(i int, missing float64) float64 {
 	v := a.value(i)
 	if v == nil {
@@ -67,12 +69,13 @@
 	}
 	f, err := v.Float64()
 	if err != nil || math.IsNaN(f) || math.Abs(f) > 1e15 {
-		a.fail("value %d of %s is not a fit number", i, clip(a.name))
+		a.fail("value %d of %s is not a number in the range of -1e15 to 1e15", i, clip(a.name))
 		return missing
 	}
 	return f
 }
 
+// integer returns value i, which must be a whole number.
 func (a *inputMessage) integer(i int) int64 {
 	if a.value(i) == nil {
 		a.fail("value %d of %s is missing", i, clip(a.name))
@@ -85,7 +88,7 @@
 	return int64(f)
 }
 
-// unsigned reads a whole number of up to 64 bits.
+// unsigned returns value i as an unsigned integer of 64 bits.
 func (a *inputMessage) unsigned(i int) uint64 {
 	v := a.value(i)
 	if v == nil {
@@ -99,14 +102,16 @@
 	return u
 }
 
+// call returns value i as a call identifier of 32 bits.
 func (a *inputMessage) call(i int) uint64 {
 	id := a.unsigned(i)
 	if id >= 1<<32 {
-		a.fail("value %d of %s is no call id", i, clip(a.name))
+		a.fail("value %d of %s is not a call identifier: it exceeds 32 bits", i, clip(a.name))
 	}
 	return id
 }
 
+// milliseconds returns value i, a number of milliseconds, as a duration.
 func (a *inputMessage) milliseconds(i int) time.Duration {
 	if a.value(i) == nil {
 		a.fail("value %d of %s is missing", i, clip(a.name))
@@ -115,8 +120,9 @@
 	return durationOf(a.optionalNumber(i, 0))
 }
 
+// durationOf converts milliseconds, rounded to microseconds.
 func durationOf(ms float64) time.Duration {
-	if math.Abs(ms) > 9e12 { // keeps within a Duration
+	if math.Abs(ms) > 9e12 { // the result must fit into a Duration
 		ms = math.Copysign(9e12, ms)
 	}
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
@@ -125,7 +131,7 @@
 func (a *inputMessage) text(i int) string {
 	v := a.value(i)
 	if v == nil || v.Type() != fastjson.TypeString {
-		a.fail("value %d of %s is not a text", i, clip(a.name))
+		a.fail("value %d of %s is not a string", i, clip(a.name))
 		return ""
 	}
 	return string(v.GetStringBytes())
@@ -147,9 +153,10 @@
 	return v.GetBool()
 }
 
-// healths maps the list's states.
+// healthByName maps the states of switches in a list.
 var healthByName = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone}
 
+// entries returns value i as a list of switches.
 func (a *inputMessage) entries(i int) []policy.Entry {
 	values := a.value(i)
 	if values == nil || values.Type() != fastjson.TypeArray {
@@ -164,7 +171,7 @@
 		if entry.err == nil {
 			health, ok := healthByName[entry.text(4)]
 			if !ok {
-				entry.fail("unknown health %s", clip(entry.text(4)))
+				entry.fail("unknown health state %s", clip(entry.text(4)))
 			}
 			entries = append(entries, policy.Entry{Address: entry.text(5), PointCode: int(entry.integer(6)), Health: health,
 				Launched: durationOf(entry.optionalNumber(1, 0))})
@@ -177,13 +184,13 @@
 	return entries
 }
 
-// field sets one value of a load report.
+// reportField is a field of a load report: its name and how its value is stored.
 type reportField struct {
 	name string
 	set  func(*policy.Report, float64)
 }
 
-// reportFields maps the names that load reports may use.
+// reportFieldByName maps the known field names of load reports.
 var reportFieldByName = map[string]func(*policy.Report, float64){
 	"free":      func(r *policy.Report, f float64) { r.Free = f },
 	"size":      func(r *policy.Report, f float64) { r.Size = f },
@@ -194,9 +201,10 @@
 	"hold_back": func(r *policy.Report, f float64) { r.Reduction = f },
 }
 
+// unknownReport has the value -1, unknown, in all fields.
 var unknownReport = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}
 
-// report reads a load report, or nil where there is none.
+// report returns value i as a load report, or nil if there is none.
 func (in *instance) report(a *inputMessage, i int) *policy.Report {
 	object := a.value(i)
 	if object == nil {
@@ -217,11 +225,11 @@
 	return &r
 }
 
-// config translates the settings of Hello.
+// settings decodes the settings in a Hello message.
 func (a *inputMessage) settings(i int) (policy.Config, []reportField) {
 	v := a.value(i)
 	if v == nil {
-		a.fail("Hello has no settings")
+		a.fail("Hello: settings are missing")
 		return policy.Config{}, nil
 	}
 	s, err := Decode(v)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,25 +11,25 @@
 	"github.com/umbergauge/umbergauge/policy"
 )
 
-// Settings are what an instance is told at its start, on the simulator's wire and on the platform alike: the module's part,
-// and what those who carry its decisions out keep to.
+// Settings are the settings that a controller receives at its start, from the simulator and on the platform alike: those of
+// package policy, and those of the code that carries out its actions.
 type Settings struct {
 	Policy  policy.Config // without Seed
-	Classes []string      // names, in the order of Brain.Classes
+	Classes []string      // names, in the order of Policy.Classes
 	Zones   []string
 
-	MaxPatience    time.Duration // longest time for which callers of a class wait
-	ConnectTimeout time.Duration // a connection that is not up by then has failed
-	Keepalive      time.Duration // idle connections are closed after this; 0: not told
-	Probes         bool          // switches may be tested
-	RetryAfter     bool          // callers may be told how long to stay away ...
-	MaxRetryAfter  time.Duration // ... up to so long
-	MaxOpenCalls   int           // open calls at most; 0: not told
+	MaxPatience    time.Duration // the longest time in any class before a caller gives up
+	ConnectTimeout time.Duration // longest time for setting up a connection
+	Keepalive      time.Duration // idle connections are closed after this time; 0: not given
+	Probes         bool          // probes of switches are allowed
+	RetryAfter     bool          // a refusal may carry a retry-after time
+	MaxRetryAfter  time.Duration // the longest retry-after time
+	MaxOpenCalls   int           // limit of open calls; 0: not given
 
-	reportFields []reportField // meaning of the load report's values
+	reportFields []reportField // the known fields of load reports
 }
 
-// Decode translates the settings object. Keys that are missing or null have the value zero unless stated here.
+// Decode decodes the settings object. A missing or null key has the default given here, in most cases zero.
 func Decode(object *fastjson.Value) (*Settings, error) {
 	if object == nil || object.Type() != fastjson.TypeObject {
 		return &Settings{}, errors.New("settings: not an object")
@@ -42,7 +42,7 @@
 		}
 		f, err := x.Float64()
 		if (err != nil || math.IsNaN(f) || math.Abs(f) > 1e15) && firstError == nil {
-			firstError = fmt.Errorf("settings: %s is not a fit number", path[len(path)-1])
+			firstError = fmt.Errorf("settings: %s is not a number in the range of -1e15 to 1e15", path[len(path)-1])
 		}
 		return f
 	}
@@ -98,7 +98,8 @@
 	return decoded, firstError
 }
 
-// Report reads a load report whose values are looked up by the names that the settings list; others are unknown.
+// Report returns a load report with the fields that the settings name. lookUp returns the value of a field by name; a field
+// that is not named, missing or out of range is unknown.
 func (s *Settings) Report(lookUp func(name string) (float64, bool)) policy.Report {
 	return readReport(s.reportFields, lookUp)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire hosts any number of controllers behind the line protocol of the simulator. It translates
-// the wire's words into those of package policy and back, and decides nothing.
+// Package wire hosts any number of controllers behind the line protocol of the simulator: batches of messages, each a JSON
+// array on one line. It translates the messages into events of package policy and the engine's actions into messages.
 package wire
 
 import (
@@ -19,10 +19,10 @@
 // instance is one hosted controller.
 type instance struct {
 	engine       *policy.Engine
-	reportFields []reportField // meaning of the load report's values
+	reportFields []reportField // the known fields of load reports
 }
 
-// host holds the instances of one process and the lists last received.
+// host holds the controllers of one process and the latest lists of switches, by number.
 type host struct {
 	parser    fastjson.Parser
 	instances map[int64]*instance
@@ -32,7 +32,7 @@
 	out       []byte
 }
 
-// Serve answers batches from r on w until the input ends. The error is a plain one-line message.
+// Serve reads batches from r and answers them on w until the input ends. The text of its error is one line.
 func Serve(r io.Reader, w io.Writer) error {
 	h := &host{instances: map[int64]*instance{}, lists: map[int64][]policy.Entry{}}
 	in := bufio.NewReaderSize(r, 1<<20)
@@ -43,7 +43,7 @@
 		text, err := readLine(in)
 		if errors.Is(err, io.EOF) && len(text) == 0 {
 			if inBatch {
-				return fmt.Errorf("line %d: input ended in mid-batch", line)
+				return fmt.Errorf("line %d: input ended within a batch", line)
 			}
 			return nil
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-// readLine returns the next line without its end; the buffer grows for long ones.
+// readLine returns the next line without its line ending. Lines longer than the reader's buffer are copied.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	line, err := reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -103,7 +103,7 @@
 	return line, err
 }
 
-// event hands one message to the instance that it names.
+// handleMessage handles one message of a batch; most are events for the controller whose number is their first value.
 func (h *host) handleMessage(message *inputMessage) {
 	switch message.name {
 	case "Hello":
@@ -160,7 +160,7 @@
 	}
 }
 
-// hello starts an instance anew.
+// handleHello starts a controller, or restarts it with fresh state.
 func (h *host) handleHello(message *inputMessage) {
 	message.requireValues(3)
 	id, seed := message.integer(0), message.unsigned(1)
@@ -177,7 +177,7 @@
 	h.instances[id] = &instance{engine: engine, reportFields: reportFields}
 }
 
-// targets translates a report on the list.
+// decodeTargets decodes the result of a query for the list of switches.
 func (h *host) decodeTargets(message *inputMessage) policy.Event {
 	if len(message.values) < 2 {
 		message.requireValues(4)
@@ -201,7 +201,7 @@
 	return policy.List{Full: form != "D", Entries: entries}
 }
 
-// The bits of a Demand's options.
+// Bits of the options value of Demand.
 const (
 	optionRedial    = 2
 	optionTransit   = 8
@@ -236,7 +236,7 @@
 	return policy.Established{Call: message.call(1), Delay: message.milliseconds(2), Exchange: message.text(3), Attempt: int(message.integer(4))}
 }
 
-// causes maps completion codes.
+// causeByCode maps the completion codes of Returned.
 var causeByCode = map[int64]policy.Cause{
 	0: policy.Completed, 13: policy.Failed, 8: policy.NotSetUp, 4: policy.TimedOut, 14: policy.NoContact,
 	10: policy.Reset, 1: policy.Cancelled, 9: policy.NotSent,
@@ -268,7 +268,7 @@
 	return ev
 }
 
-// appendAction writes one action as a line.
+// appendAction appends one action, encoded as a line, to b.
 func appendAction(b []byte, id int64, act policy.Action) []byte {
 	open := func(name string) {
 		b = append(append(append(b, `["`...), name...), `",`...)
