--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the settings of a call controller from YAML. Every fault is named with file, line and key, and
-// all of them at once.
+// Package config reads the settings of a call controller from YAML. It reports all errors of a file together, each with file,
+// line, column and key.
 package config
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/umbergauge/umbergauge/trunk"
 )
 
-// Config is one settings file. docs/operations/settings.md explains each key to operators.
+// Config is a settings file. docs/operations/settings.md documents the keys for operators.
 type Config struct {
 	Exchange uint32 `yaml:"exchange"` // own point code
 	Network  byte   `yaml:"network_indicator"`
@@ -36,14 +36,14 @@
 	Log      Log    `yaml:"log"`
 	Seed     uint64 `yaml:"seed"`
 
-	Guard          time.Duration `yaml:"guard"`
-	MaxAttempts    int           `yaml:"max_attempts"`
-	Repeat         time.Duration `yaml:"repeat"`
-	AnswerMargin   time.Duration `yaml:"answer_margin"`
-	CutMemory      time.Duration `yaml:"cut_memory"`
-	Hops           int           `yaml:"hops"`
-	DrainLimit     time.Duration `yaml:"drain_limit"`
-	OverQuotaWorth float64       `yaml:"over_quota_worth"`
+	Guard          time.Duration `yaml:"guard"`            // see policy.Config
+	MaxAttempts    int           `yaml:"max_attempts"`     // attempts allowed for one call
+	Repeat         time.Duration `yaml:"repeat"`           // see policy.Config
+	AnswerMargin   time.Duration `yaml:"answer_margin"`    // see controller.Config
+	CutMemory      time.Duration `yaml:"cut_memory"`       // see controller.Config
+	Hops           int           `yaml:"hops"`             // hop counter of a call that arrives without one
+	DrainLimit     time.Duration `yaml:"drain_limit"`      // longest time for a drain
+	OverQuotaWorth float64       `yaml:"over_quota_worth"` // worth of a call beyond its tenant's quota, as a share of its worth
 
 	ColdStart   ColdStart   `yaml:"cold"`
 	Classes     []Class     `yaml:"classes"`
@@ -56,7 +56,7 @@
 	Hooks       Hooks       `yaml:"hooks"`
 }
 
-// Hooks are the scripts and how they are run.
+// Hooks names the files of scripts and sets the limits for running their hooks.
 type Hooks struct {
 	Files    []string      `yaml:"files"`
 	Examples []string      `yaml:"examples"`
@@ -65,52 +65,52 @@
 	Queue    int           `yaml:"queue"`
 }
 
-// Log is how the daemon logs.
+// Log sets the level and format of the daemon's log.
 type Log struct {
 	Level  string `yaml:"level"`  // debug, info, warn or error
 	Format string `yaml:"format"` // json or console
 }
 
-// ColdStart is what is known of switches that have just started.
+// ColdStart describes freshly started switches, which have less capacity until they are warm.
 type ColdStart struct {
-	WarmUp        time.Duration `yaml:"warm_up"`
-	Share         float64       `yaml:"share"`
-	CrashMultiple float64       `yaml:"fall_multiple"`
-	CrashSpan     time.Duration `yaml:"fall_span"`
+	WarmUp        time.Duration `yaml:"warm_up"`       // time from its start until a switch is warm
+	Share         float64       `yaml:"share"`         // lowest share of its capacity that a fresh switch has
+	CrashMultiple float64       `yaml:"fall_multiple"` // a cold switch crashes when it is sent this multiple of its capacity ...
+	CrashSpan     time.Duration `yaml:"fall_span"`     // ... for this time
 }
 
-// Class is one class of calls.
+// Class is a class of calls.
 type Class struct {
 	Name       string        `yaml:"name"`
-	Aim        time.Duration `yaml:"aim"`
-	Patience   time.Duration `yaml:"patience"`
-	Ring       time.Duration `yaml:"ring,omitempty"`
+	Aim        time.Duration `yaml:"aim"`            // set-up time that earns the full worth
+	Patience   time.Duration `yaml:"patience"`       // callers give up after this time, unless the call rings by then
+	Ring       time.Duration `yaml:"ring,omitempty"` // how long callers let it ring; 0: the default of controller.Class
 	Worth      float64       `yaml:"worth"`
-	LateWorth  float64       `yaml:"late_worth"`
-	Categories []int         `yaml:"categories"`
+	LateWorth  float64       `yaml:"late_worth"` // share of the worth that a late set-up earns
+	Categories []int         `yaml:"categories"` // calling party's categories of the class
 }
 
-// Tenant is one of the customers.
+// Tenant is a customer. Quota is its share of the calls in calls per second, over all controllers; 0: unlimited.
 type Tenant struct {
 	Name  string  `yaml:"name"`
 	Quota float64 `yaml:"quota"`
 }
 
-// Client is one who may connect, known by its ASP identifier.
+// Client is a client that may connect. It is identified by its ASP identifier.
 type Client struct {
 	Name   string `yaml:"name"`
 	ASP    uint32 `yaml:"asp"`
 	Tenant string `yaml:"tenant"`
-	// Associations are the ASP identifiers of a client with several associations, in place of ASP, and Mode their traffic
+	// Associations are the ASP identifiers of a client with several associations, which has no ASP. Mode is their traffic
 	// mode: override, loadshare or broadcast.
 	Associations []uint32 `yaml:"associations,omitempty"`
 	Mode         string   `yaml:"mode,omitempty"`
 }
 
-// Modes are the traffic modes by name (RFC 4666, 3.7.1).
+// TrafficModes maps names to traffic modes (RFC 4666, 3.7.1).
 var TrafficModes = map[string]uint32{"override": m3ua.TrafficOverride, "loadshare": m3ua.TrafficLoadshare, "broadcast": m3ua.TrafficBroadcast}
 
-// Has tells whether an ASP identifier is this client's.
+// HasASP reports whether the client uses the ASP identifier.
 func (c *Client) HasASP(id uint32) bool {
 	if len(c.Associations) > 0 {
 		return slices.Contains(c.Associations, id)
@@ -118,16 +118,16 @@
 	return c.ASP == id
 }
 
-// Exchange is one exchange of the network, the own one among them.
+// Exchange is an exchange of the network; the own one is listed as well.
 type Exchange struct {
 	PointCode uint32   `yaml:"point_code"`
 	Name      string   `yaml:"name"`
-	Switch    []string `yaml:"switch"` // addresses, tried in turn
+	Switch    []string `yaml:"switch"` // addresses of its switch, tried in turn
 	Circuits  int      `yaml:"circuits"`
 	Prefixes  []string `yaml:"prefixes"`
 }
 
-// Timers are those of Q.764.
+// Timers are the timers of Q.764.
 type Timers struct {
 	T1             time.Duration `yaml:"t1"`
 	T5             time.Duration `yaml:"t5"`
@@ -138,7 +138,7 @@
 	SignallingHold time.Duration `yaml:"signalling_hold"`
 }
 
-// Association is how associations are kept.
+// Association has the timers and limits of associations.
 type Association struct {
 	Ack        time.Duration `yaml:"ack"`
 	Tries      int           `yaml:"tries"`
@@ -149,24 +149,24 @@
 	BackoffMin time.Duration `yaml:"backoff_min"`
 	BackoffMax time.Duration `yaml:"backoff_max"`
 	Queue      int           `yaml:"queue"` // octets
-	// Recovery is T(r): a client with several associations keeps its calls so long when the last one is lost; RecoveryQueue
-	// bounds what waits for it, in octets.
+	// Recovery is T(r): how long a client with several associations keeps its calls after the loss of the last one.
+	// RecoveryQueue bounds the messages queued for it meanwhile, in octets.
 	Recovery      time.Duration `yaml:"recovery,omitempty"`
 	RecoveryQueue int           `yaml:"recovery_queue,omitempty"`
 }
 
-// Limits bound what the daemon holds.
+// Limits bounds the calls, clients and queues of the daemon.
 type Limits struct {
 	Calls         int             `yaml:"calls"`
 	Clients       int             `yaml:"clients"`
 	Events        int             `yaml:"events"`
-	HandshakeRate float64         `yaml:"handshakes"` // new connections a second
+	HandshakeRate float64         `yaml:"handshakes"` // new connections per second
 	Client        AdmissionLimits `yaml:"client"`     // of each client
 	Tenant        AdmissionLimits `yaml:"tenant"`     // of each tenant
 	All           AdmissionLimits `yaml:"all"`        // of all clients together, shared fairly
 }
 
-// AdmissionLimits limits set-ups. Zero: no limit.
+// AdmissionLimits limits new calls and open calls. Zero: no limit.
 type AdmissionLimits struct {
 	Rate  float64 `yaml:"rate"`
 	Burst float64 `yaml:"burst"`
@@ -177,7 +177,7 @@
 	return admission.Limits{Rate: l.Rate, Burst: l.Burst, Open: l.Open}
 }
 
-// Default has the values of keys that a file may leave out.
+// Default returns the defaults for keys that a file may omit.
 func Default() Config {
 	return Config{
 		Network: 2, Log: Log{"info", "json"}, Guard: 200 * time.Millisecond, MaxAttempts: 4,
@@ -191,7 +191,7 @@
 	}
 }
 
-// Fault is one thing wrong with a file.
+// FileError is an error in a file. Line is 0 when its position is unknown.
 type FileError struct {
 	File         string
 	Line, Column int
@@ -210,7 +210,7 @@
 	return fmt.Sprintf("%s: %s", position, f.Reason)
 }
 
-// Faults are all things wrong with a file, by line.
+// FileErrors are all errors of a file, ordered by line.
 type FileErrors []FileError
 
 func (f FileErrors) Error() string {
@@ -224,7 +224,7 @@
 	return text.String()
 }
 
-// Load reads and checks a file. The error is Faults, or that of reading the file.
+// Load reads and checks a settings file. The error is of type FileErrors, or that of reading the file.
 func Load(path string) (*Config, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -233,7 +233,7 @@
 	return Parse(path, content)
 }
 
-// Parse reads and checks settings; name stands in its errors.
+// Parse parses and checks settings; its errors show name as the file.
 func Parse(name string, content []byte) (*Config, error) {
 	c := Default()
 	if err := Decode(name, content, &c); err != nil {
@@ -244,7 +244,7 @@
 	return &c, v.Err()
 }
 
-// Decode reads YAML into v and refuses unknown keys. The error is Faults.
+// Decode decodes YAML into v and rejects unknown keys. The error is of type FileErrors.
 func Decode(name string, content []byte, v any) error {
 	if strings.TrimSpace(string(content)) == "" {
 		return FileErrors{{File: name, Reason: "the file is empty"}}
@@ -259,7 +259,7 @@
 				problem.Key = token.Value
 			}
 		} else if file, err := parser.ParseBytes(content, 0); err == nil {
-			// A value that does not read, such as a duration, has no place in its error: the first one that is named there.
+			// The error of an invalid value, such as a duration, has no position: take that of the first scalar it quotes.
 			v := &scalarFinder{message: problem.Reason}
 			for _, document := range file.Docs {
 				ast.Walk(v, document.Body)
@@ -271,7 +271,7 @@
 	return nil
 }
 
-// finder looks for the first scalar that an error quotes.
+// scalarFinder finds the position of the first scalar that an error message quotes.
 type scalarFinder struct {
 	message      string
 	line, column int
@@ -286,20 +286,20 @@
 	return f
 }
 
-// Checker gathers faults of a file and finds their lines.
+// Checker collects the errors of a file and determines their positions.
 type Checker struct {
 	name  string
 	file  *ast.File
 	found FileErrors
 }
 
-// NewChecker makes a Checker for a file that Decode has read.
+// NewChecker returns a Checker for a file that Decode accepted.
 func NewChecker(name string, content []byte) *Checker {
 	parsed, _ := parser.ParseBytes(content, 0)
 	return &Checker{name: name, file: parsed}
 }
 
-// Fail notes a fault at a key, such as classes[0].aim. A key that is not in the file is shown where its parent is.
+// Errorf records an error at a key, such as classes[0].aim. A key that is not in the file has the position of its parent.
 func (v *Checker) Errorf(key, format string, args ...any) {
 	problem := FileError{File: v.name, Key: key, Reason: fmt.Sprintf(format, args...)}
 	for path := key; v.file != nil && path != ""; {
@@ -314,14 +314,14 @@
 	v.found = append(v.found, problem)
 }
 
-// Must notes a fault unless ok.
+// Must records an error unless ok.
 func (v *Checker) Must(ok bool, key, format string, args ...any) {
 	if !ok {
 		v.Errorf(key, format, args...)
 	}
 }
 
-// Err is all faults, or nil.
+// Err returns the recorded errors as FileErrors, or nil.
 func (v *Checker) Err() error {
 	if len(v.found) == 0 {
 		return nil
@@ -330,32 +330,33 @@
 	return v.found
 }
 
-// maxPC is the highest point code of 14 bits (Q.704, 2.2.3).
+// maxPointCode is the highest point code, of 14 bits (Q.704, 2.2.3).
 const maxPointCode = 1<<14 - 1
 
-// Address says what is wrong with a host and port.
+// Address records an error unless address is a host and a port.
 func (v *Checker) Address(key, address string) {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
-		v.Errorf(key, "%q is no address of the form host:port", address)
+		v.Errorf(key, "%q is not an address of the form host:port", address)
 		return
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		v.Errorf(key, "%q: the port must be 0 to 65535", address)
+		v.Errorf(key, "%q: the port is not in the range of 0 to 65535", address)
 	}
 }
 
+// durationRange records an error unless value is in the range.
 func (v *Checker) durationRange(key string, value, from, to time.Duration) {
 	if value < from || value > to {
-		v.Errorf(key, "%v; %v to %v can be", value, from, to)
+		v.Errorf(key, "%v is not in the range of %v to %v", value, from, to)
 	}
 }
 
 func (c *Config) check(v *Checker) {
-	v.Must(c.Exchange > 0 && c.Exchange <= maxPointCode, "exchange", "the own point code must be 1 to %d", maxPointCode)
-	v.Must(c.Network <= 3, "network_indicator", "%d; 0 to 3 can be", c.Network)
+	v.Must(c.Exchange > 0 && c.Exchange <= maxPointCode, "exchange", "the own point code is not in the range of 1 to %d", maxPointCode)
+	v.Must(c.Network <= 3, "network_indicator", "%d is not in the range of 0 to 3", c.Network)
 	if c.Listen == "" {
-		v.Errorf("listen", "is missing: where clients connect")
+		v.Errorf("listen", "is missing: the address on which clients connect")
 	} else {
 		v.Address("listen", c.Listen)
 	}
@@ -364,19 +365,19 @@
 			v.Address(key, a)
 		}
 	}
-	v.Must(slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "log.level", "%q; debug, info, warn or error can be", c.Log.Level)
-	v.Must(c.Log.Format == "json" || c.Log.Format == "console", "log.format", "%q; json or console can be", c.Log.Format)
+	v.Must(slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "log.level", "%q is not debug, info, warn or error", c.Log.Level)
+	v.Must(c.Log.Format == "json" || c.Log.Format == "console", "log.format", "%q is not json or console", c.Log.Format)
 	v.durationRange("guard", c.Guard, 0, time.Minute)
-	v.Must(c.MaxAttempts >= 1 && c.MaxAttempts <= 16, "max_attempts", "%d; 1 to 16 can be", c.MaxAttempts)
+	v.Must(c.MaxAttempts >= 1 && c.MaxAttempts <= 16, "max_attempts", "%d is not in the range of 1 to 16", c.MaxAttempts)
 	v.durationRange("repeat", c.Repeat, 0, time.Minute)
 	v.durationRange("answer_margin", c.AnswerMargin, 0, 10*time.Second)
 	v.durationRange("cut_memory", c.CutMemory, 0, time.Hour)
-	v.Must(c.Hops >= 1 && c.Hops <= 31, "hops", "%d; 1 to 31 can be", c.Hops)
+	v.Must(c.Hops >= 1 && c.Hops <= 31, "hops", "%d is not in the range of 1 to 31", c.Hops)
 	v.durationRange("drain_limit", c.DrainLimit, 0, 24*time.Hour)
-	v.Must(c.OverQuotaWorth >= 0 && c.OverQuotaWorth <= 1, "over_quota_worth", "%v; 0 to 1 can be", c.OverQuotaWorth)
+	v.Must(c.OverQuotaWorth >= 0 && c.OverQuotaWorth <= 1, "over_quota_worth", "%v is not in the range of 0 to 1", c.OverQuotaWorth)
 	v.durationRange("cold.warm_up", c.ColdStart.WarmUp, 0, time.Hour)
-	v.Must(c.ColdStart.Share > 0 && c.ColdStart.Share <= 1, "cold.share", "%v; above 0 to 1 can be", c.ColdStart.Share)
-	v.Must(c.ColdStart.CrashMultiple >= 1, "cold.fall_multiple", "%v; it must be 1 at the least", c.ColdStart.CrashMultiple)
+	v.Must(c.ColdStart.Share > 0 && c.ColdStart.Share <= 1, "cold.share", "%v is not above 0 and at most 1", c.ColdStart.Share)
+	v.Must(c.ColdStart.CrashMultiple >= 1, "cold.fall_multiple", "%v is less than 1", c.ColdStart.CrashMultiple)
 	v.durationRange("cold.fall_span", c.ColdStart.CrashSpan, 0, time.Minute)
 	v.durationRange("timers.t1", c.Timers.T1, 100*time.Millisecond, time.Minute)
 	v.durationRange("timers.t5", c.Timers.T5, c.Timers.T1, 15*time.Minute)
@@ -387,7 +388,7 @@
 	v.durationRange("timers.signalling_hold", c.Timers.SignallingHold, 0, 10*time.Minute)
 	a := c.Association
 	v.durationRange("association.ack", a.Ack, 10*time.Millisecond, time.Minute)
-	v.Must(a.Tries >= 1 && a.Tries <= 100, "association.tries", "%d; 1 to 100 can be", a.Tries)
+	v.Must(a.Tries >= 1 && a.Tries <= 100, "association.tries", "%d is not in the range of 1 to 100", a.Tries)
 	v.durationRange("association.beat", a.Beat, 10*time.Millisecond, 10*time.Minute)
 	v.durationRange("association.beat_limit", a.BeatLimit, a.Beat, time.Hour)
 	v.durationRange("association.dial_limit", a.DialLimit, 10*time.Millisecond, time.Minute)
@@ -395,25 +396,25 @@
 	v.durationRange("association.backoff_min", a.BackoffMin, time.Millisecond, time.Minute)
 	v.durationRange("association.backoff_max", a.BackoffMax, a.BackoffMin, time.Hour)
 	v.durationRange("association.recovery", a.Recovery, 0, time.Minute)
-	v.Must(a.RecoveryQueue >= 0 && a.RecoveryQueue <= 64<<20, "association.recovery_queue", "%d octets; 0 to 64 MiB can be", a.RecoveryQueue)
-	v.Must(a.Queue >= m3ua.MaxFrame, "association.queue", "%d octets; it must hold a frame of %d", a.Queue, m3ua.MaxFrame)
-	v.Must(c.Limits.Calls >= 1 && c.Limits.Calls <= 1<<30, "limits.calls", "%d; 1 to 2^30 can be", c.Limits.Calls)
-	v.Must(c.Limits.Clients >= 1, "limits.clients", "%d; it must be 1 at the least", c.Limits.Clients)
-	v.Must(c.Limits.Events >= 1 && c.Limits.Events <= 1<<20, "limits.events", "%d; 1 to 2^20 can be", c.Limits.Events)
-	v.Must(c.Limits.HandshakeRate > 0, "limits.handshakes", "%v; it must be above 0", c.Limits.HandshakeRate)
+	v.Must(a.RecoveryQueue >= 0 && a.RecoveryQueue <= 64<<20, "association.recovery_queue", "%d octets is not in the range of 0 to 64 MiB", a.RecoveryQueue)
+	v.Must(a.Queue >= m3ua.MaxFrame, "association.queue", "%d octets cannot hold a frame of %d octets", a.Queue, m3ua.MaxFrame)
+	v.Must(c.Limits.Calls >= 1 && c.Limits.Calls <= 1<<30, "limits.calls", "%d is not in the range of 1 to 2^30", c.Limits.Calls)
+	v.Must(c.Limits.Clients >= 1, "limits.clients", "%d is less than 1", c.Limits.Clients)
+	v.Must(c.Limits.Events >= 1 && c.Limits.Events <= 1<<20, "limits.events", "%d is not in the range of 1 to 2^20", c.Limits.Events)
+	v.Must(c.Limits.HandshakeRate > 0, "limits.handshakes", "%v is not above 0", c.Limits.HandshakeRate)
 	for key, limits := range map[string]AdmissionLimits{"client": c.Limits.Client, "tenant": c.Limits.Tenant, "all": c.Limits.All} {
-		v.Must(limits.Rate >= 0 && limits.Burst >= 0 && limits.Open >= 0, "limits."+key, "a negative limit")
+		v.Must(limits.Rate >= 0 && limits.Burst >= 0 && limits.Open >= 0, "limits."+key, "a limit is negative")
 	}
 	v.durationRange("hooks.deadline", c.Hooks.Deadline, time.Millisecond, time.Second)
-	v.Must(c.Hooks.Workers >= 1 && c.Hooks.Workers <= 64, "hooks.workers", "%d; 1 to 64 can be", c.Hooks.Workers)
-	v.Must(c.Hooks.Queue >= 1 && c.Hooks.Queue <= 1<<16, "hooks.queue", "%d; 1 to 65536 can be", c.Hooks.Queue)
+	v.Must(c.Hooks.Workers >= 1 && c.Hooks.Workers <= 64, "hooks.workers", "%d is not in the range of 1 to 64", c.Hooks.Workers)
+	v.Must(c.Hooks.Queue >= 1 && c.Hooks.Queue <= 1<<16, "hooks.queue", "%d is not in the range of 1 to 65536", c.Hooks.Queue)
 	c.checkClasses(v)
 	c.checkClients(v)
 	c.checkExchanges(v)
 }
 
 func (c *Config) checkClasses(v *Checker) {
-	v.Must(len(c.Classes) > 0 && len(c.Classes) < 256, "classes", "%d classes; 1 to 255 can be", len(c.Classes))
+	v.Must(len(c.Classes) > 0 && len(c.Classes) < 256, "classes", "%d classes; the number must be 1 to 255", len(c.Classes))
 	seen, names := map[int]string{}, map[string]bool{}
 	for i, class := range c.Classes {
 		key := func(k string) string { return fmt.Sprintf("classes[%d].%s", i, k) }
@@ -421,15 +422,15 @@
 		names[class.Name] = true
 		v.durationRange(key("aim"), class.Aim, time.Millisecond, time.Minute)
 		v.durationRange(key("patience"), class.Patience, time.Millisecond, 2*time.Minute)
-		v.Must(class.Patience >= class.Aim, key("patience"), "%v is under the aim of %v: its callers give up before a call can be late", class.Patience, class.Aim)
-		v.Must(class.Ring == 0 || class.Ring >= time.Second && class.Ring <= 10*time.Minute, key("ring"), "%v; 1s to 10m can be", class.Ring)
-		v.Must(class.Patience > c.AnswerMargin, key("patience"), "%v, not above answer_margin %v: no call could be answered in time", class.Patience, c.AnswerMargin)
+		v.Must(class.Patience >= class.Aim, key("patience"), "%v is under the aim of %v: its callers would give up before a call can be late", class.Patience, class.Aim)
+		v.Must(class.Ring == 0 || class.Ring >= time.Second && class.Ring <= 10*time.Minute, key("ring"), "%v is not in the range of 1s to 10m", class.Ring)
+		v.Must(class.Patience > c.AnswerMargin, key("patience"), "%v is not above answer_margin %v: no call could be answered in time", class.Patience, c.AnswerMargin)
 		v.Must(class.Worth >= 0, key("worth"), "%v is negative", class.Worth)
-		v.Must(class.LateWorth >= 0 && class.LateWorth <= 1, key("late_worth"), "%v; 0 to 1 can be", class.LateWorth)
+		v.Must(class.LateWorth >= 0 && class.LateWorth <= 1, key("late_worth"), "%v is not in the range of 0 to 1", class.LateWorth)
 		for j, category := range class.Categories {
 			k := fmt.Sprintf("classes[%d].categories[%d]", i, j)
-			v.Must(category >= 0 && category <= 255, k, "%d is no calling party's category", category)
-			v.Must(seen[category] == "", k, "%d marks class %s already", category, seen[category])
+			v.Must(category >= 0 && category <= 255, k, "%d is not a calling party's category: 0 to 255", category)
+			v.Must(seen[category] == "", k, "category %d is already assigned to class %s", category, seen[category])
 			seen[category] = class.Name
 		}
 		v.Must(i == 0 || len(class.Categories) > 0, key("categories"), "is missing: no call would be of class %s", class.Name)
@@ -448,13 +449,13 @@
 	for i, client := range c.Clients {
 		key, ids := fmt.Sprintf("clients[%d].asp", i), []uint32{client.ASP}
 		if len(client.Associations) > 0 {
-			v.Must(client.ASP == 0, key, "is given beside associations: one of the two names a client")
-			v.Must(TrafficModes[client.Mode] != 0, fmt.Sprintf("clients[%d].mode", i), "%q; override, loadshare or broadcast can be", client.Mode)
+			v.Must(client.ASP == 0, key, "is given together with associations: a client has either of them")
+			v.Must(TrafficModes[client.Mode] != 0, fmt.Sprintf("clients[%d].mode", i), "%q is not override, loadshare or broadcast", client.Mode)
 			v.Must(!names[client.Name] && client.Name != "", fmt.Sprintf("clients[%d].name", i), "%q is missing or given twice", client.Name)
 			names[client.Name] = true
 			key, ids = fmt.Sprintf("clients[%d].associations", i), client.Associations
 		} else {
-			v.Must(client.Mode == "", fmt.Sprintf("clients[%d].mode", i), "is of no use without associations")
+			v.Must(client.Mode == "", fmt.Sprintf("clients[%d].mode", i), "has no effect without associations")
 		}
 		for _, id := range ids {
 			v.Must(!asps[id], key, "%d is given twice", id)
@@ -469,20 +470,20 @@
 	var numbers numbering.Table[uint32]
 	for i, exchange := range c.Exchanges {
 		key := func(k string) string { return fmt.Sprintf("exchanges[%d].%s", i, k) }
-		v.Must(exchange.PointCode > 0 && exchange.PointCode <= maxPointCode, key("point_code"), "%d; 1 to %d can be", exchange.PointCode, maxPointCode)
+		v.Must(exchange.PointCode > 0 && exchange.PointCode <= maxPointCode, key("point_code"), "%d is not in the range of 1 to %d", exchange.PointCode, maxPointCode)
 		v.Must(!seen[exchange.PointCode], key("point_code"), "%d is given twice", exchange.PointCode)
 		seen[exchange.PointCode] = true
 		v.Must(len(exchange.Switch) > 0, key("switch"), "is missing: the addresses of the switch")
 		for j, address := range exchange.Switch {
 			k := fmt.Sprintf("exchanges[%d].switch[%d]", i, j)
 			v.Address(k, address)
-			v.Must(addresses[address] == 0, k, "%s is the address of exchange %d already", address, addresses[address])
+			v.Must(addresses[address] == 0, k, "%s is already the address of exchange %d", address, addresses[address])
 			addresses[address] = exchange.PointCode
 		}
 		if exchange.PointCode == c.Exchange {
-			v.Must(exchange.Circuits == 0, key("circuits"), "the own exchange has no group to itself")
+			v.Must(exchange.Circuits == 0, key("circuits"), "the own exchange has no trunk group to itself")
 		} else {
-			v.Must(exchange.Circuits >= 0 && exchange.Circuits <= isup.MaxCIC, key("circuits"), "%d; 0 to %d can be", exchange.Circuits, isup.MaxCIC)
+			v.Must(exchange.Circuits >= 0 && exchange.Circuits <= isup.MaxCIC, key("circuits"), "%d is not in the range of 0 to %d", exchange.Circuits, isup.MaxCIC)
 		}
 		for j, prefix := range exchange.Prefixes {
 			if err := numbers.Add(prefix, exchange.PointCode); err != nil {
@@ -490,11 +491,11 @@
 			}
 		}
 	}
-	v.Must(len(c.Exchanges) >= 2, "exchanges", "%d exchanges; the own one and another at the least", len(c.Exchanges))
+	v.Must(len(c.Exchanges) >= 2, "exchanges", "%d exchanges; at least the own one and another are required", len(c.Exchanges))
 	v.Must(seen[c.Exchange], "exchanges", "the own exchange %d is missing", c.Exchange)
 }
 
-// Controller is the part for the call controller.
+// Controller returns the settings of the call controller.
 func (c *Config) Controller() controller.Config {
 	out := controller.Config{
 		PointCode: c.Exchange, Network: c.Network, AnswerMargin: c.AnswerMargin, CutMemory: c.CutMemory, Hops: byte(c.Hops),
@@ -523,7 +524,7 @@
 	return out
 }
 
-// ExchangeList is the list of exchanges for the call controller.
+// ExchangeList returns the exchanges for the call controller.
 func (c *Config) ExchangeList() []controller.Exchange {
 	out := make([]controller.Exchange, 0, len(c.Exchanges))
 	for _, exchange := range c.Exchanges {
@@ -532,17 +533,17 @@
 	return out
 }
 
-// Tenant is the index of a tenant by name; 0 for none.
+// Tenant returns the index of the tenant of that name, or 0 if there is none.
 func (c *Config) Tenant(name string) int {
 	return max(0, slices.IndexFunc(c.Tenants, func(t Tenant) bool { return t.Name == name }))
 }
 
-// M3UA is the part for associations.
+// M3UA returns the timers of associations.
 func (c *Config) M3UA() m3ua.Timers {
 	return m3ua.Timers{Ack: c.Association.Ack, Tries: c.Association.Tries, Beat: c.Association.Beat, BeatLimit: c.Association.BeatLimit}
 }
 
-// Check checks settings that were made in the program; name stands in its errors.
+// Check checks settings that were not read from a file; its errors show name as the file.
 func (c *Config) Check(name string) error {
 	v := &Checker{name: name}
 	c.check(v)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,6 +28,8 @@
   - {point_code: 2, name: two, switch: ["127.0.0.1:4002", "127.0.0.1:4102"], circuits: 30, prefixes: ["22"]}
 `
 
+// TestValidSettingsReachControllerConfig guards against settings that are lost or assigned to the wrong field on their way
+// into the call controller's settings, and against defaults that are not applied.
 func TestValidSettingsReachControllerConfig(t *testing.T) {
 	c, err := Parse("f.yaml", []byte(validSettings))
 	if err != nil {
@@ -40,7 +42,8 @@
 	}
 }
 
-// Each change makes one fault, named with its line and key.
+// TestEachErrorNamesLineAndKey introduces one error at a time into valid settings. It guards against an error that is not
+// detected or is reported without its position and key, and against errors that hide each other.
 func TestEachErrorNamesLineAndKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"guard: 250ms", "gaurd: 250ms", "f.yaml:4:1: gaurd"},
@@ -61,7 +64,7 @@
 	} {
 		text := strings.Replace(validSettings, c.old, c.new, 1)
 		if text == validSettings {
-			t.Fatalf("%q is not in the text", c.old)
+			t.Fatalf("%q does not occur in the valid settings", c.old)
 		}
 		_, err := Parse("f.yaml", []byte(text))
 		var problems FileErrors
@@ -70,20 +73,20 @@
 			continue
 		}
 		if !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: said %q, want %q", c.new, err, c.want)
+			t.Errorf("%s: error %q, want %q", c.new, err, c.want)
 		}
 	}
 	if _, err := Parse("f.yaml", nil); err == nil {
-		t.Error("an empty file passes")
+		t.Error("an empty file is accepted")
 	}
 	_, err := Parse("f.yaml", []byte("exchange: 0\nlisten: x\n"))
 	var problems FileErrors
 	if !errors.As(err, &problems) || len(problems) < 4 {
-		t.Errorf("not all faults at once: %v", err)
+		t.Errorf("fewer than 4 errors reported together: %v", err)
 	}
 }
 
-// The README's example is a good file.
+// TestReadmeExampleIsValid guards against an example in the README that the program would reject.
 func TestReadmeExampleIsValid(t *testing.T) {
 	b, err := os.ReadFile("../../README.md")
 	if err != nil {
--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -64,7 +64,7 @@
 		Classes: []Class{{"ordinary", 1, 10, 5 * time.Second, 3 * time.Second, time.Minute}}}
 }
 
-// Load reads and checks a file. The error is config.Faults, or that of reading the file.
+// Load reads and checks a file. The error is config.FileErrors, or that of reading the file.
 func Load(path string) (*Config, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/scenario/scenario.go
+++ b/scenario/scenario.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// Load reads and checks a script. The error is config.Faults, or that of reading the file.
+// Load reads and checks a script. The error is config.FileErrors, or that of reading the file.
 func Load(path string) (*Scenario, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
