--- a/emulator/switchset/switchset.go
+++ b/emulator/switchset/switchset.go
@@ -59,7 +59,7 @@
 // Default has the values of keys that a file may leave out.
 func Default() Config { return Config{Seed: 1} }
 
-// Load reads and checks a file. The error is config.Faults, or that of reading the file.
+// Load reads and checks a file. The error is config.FileErrors, or that of reading the file.
 func Load(path string) (*Config, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -40,84 +40,84 @@
 }
 
 // fail records an error unless there is one already.
-func (a *inputMessage) fail(format string, values ...any) {
-	if a.err == nil {
-		a.err = fmt.Errorf(format, values...)
+func (m *inputMessage) fail(format string, values ...any) {
+	if m.err == nil {
+		m.err = fmt.Errorf(format, values...)
 	}
 }
 
 // requireValues records an error if the message has fewer than n values.
-func (a *inputMessage) requireValues(n int) {
-	if len(a.values) < n {
-		a.fail("%s has %d values, expected at least %d", clip(a.name), len(a.values), n)
+func (m *inputMessage) requireValues(n int) {
+	if len(m.values) < n {
+		m.fail("%s has %d values, expected at least %d", clip(m.name), len(m.values), n)
 	}
 }
 
 // value returns value i, or nil if it is missing or null.
-func (a *inputMessage) value(i int) *fastjson.Value {
-	if i >= len(a.values) || a.values[i].Type() == fastjson.TypeNull {
+func (m *inputMessage) value(i int) *fastjson.Value {
+	if i >= len(m.values) || m.values[i].Type() == fastjson.TypeNull {
 		return nil
 	}
-	return a.values[i]
+	return m.values[i]
 }
 
 // optionalNumber returns value i as a number of at most 1e15 in magnitude, or missing if there is none.
-func (a *inputMessage) optionalNumber(i int, missing float64) float64 {
-	v := a.value(i)
+func (m *inputMessage) optionalNumber(i int, missing float64) float64 {
+	v := m.value(i)
 	if v == nil {
 		return missing
 	}
 	f, err := v.Float64()
 	if err != nil || math.IsNaN(f) || math.Abs(f) > 1e15 {
-		a.fail("value %d of %s is not a number in the range of -1e15 to 1e15", i, clip(a.name))
+		m.fail("value %d of %s is not a number in the range of -1e15 to 1e15", i, clip(m.name))
 		return missing
 	}
 	return f
 }
 
 // integer returns value i, which must be a whole number.
-func (a *inputMessage) integer(i int) int64 {
-	if a.value(i) == nil {
-		a.fail("value %d of %s is missing", i, clip(a.name))
+func (m *inputMessage) integer(i int) int64 {
+	if m.value(i) == nil {
+		m.fail("value %d of %s is missing", i, clip(m.name))
 		return 0
 	}
-	f := a.optionalNumber(i, 0)
+	f := m.optionalNumber(i, 0)
 	if f != math.Trunc(f) {
-		a.fail("value %d of %s is not a whole number", i, clip(a.name))
+		m.fail("value %d of %s is not a whole number", i, clip(m.name))
 	}
 	return int64(f)
 }
 
 // unsigned returns value i as an unsigned integer of 64 bits.
-func (a *inputMessage) unsigned(i int) uint64 {
-	v := a.value(i)
+func (m *inputMessage) unsigned(i int) uint64 {
+	v := m.value(i)
 	if v == nil {
-		a.fail("value %d of %s is missing", i, clip(a.name))
+		m.fail("value %d of %s is missing", i, clip(m.name))
 		return 0
 	}
 	u, err := v.Uint64()
 	if err != nil {
-		a.fail("value %d of %s is not a whole number", i, clip(a.name))
+		m.fail("value %d of %s is not a whole number", i, clip(m.name))
 	}
 	return u
 }
 
 // call returns value i as a call identifier of 32 bits.
-func (a *inputMessage) call(i int) uint64 {
-	id := a.unsigned(i)
+func (m *inputMessage) call(i int) uint64 {
+	id := m.unsigned(i)
 	if id >= 1<<32 {
-		a.fail("value %d of %s is not a call identifier: it exceeds 32 bits", i, clip(a.name))
+		m.fail("value %d of %s is not a call identifier: it exceeds 32 bits", i, clip(m.name))
 	}
 	return id
 }
 
 // milliseconds returns value i, a number of milliseconds, as a duration.
-func (a *inputMessage) milliseconds(i int) time.Duration {
-	if a.value(i) == nil {
-		a.fail("value %d of %s is missing", i, clip(a.name))
+func (m *inputMessage) milliseconds(i int) time.Duration {
+	if m.value(i) == nil {
+		m.fail("value %d of %s is missing", i, clip(m.name))
 		return 0
 	}
-	return durationOf(a.optionalNumber(i, 0))
+	return durationOf(m.optionalNumber(i, 0))
 }
 
 // durationOf converts milliseconds, rounded to microseconds.
@@ -128,26 +128,26 @@
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
-func (a *inputMessage) text(i int) string {
-	v := a.value(i)
+func (m *inputMessage) text(i int) string {
+	v := m.value(i)
 	if v == nil || v.Type() != fastjson.TypeString {
-		a.fail("value %d of %s is not a string", i, clip(a.name))
+		m.fail("value %d of %s is not a string", i, clip(m.name))
 		return ""
 	}
 	return string(v.GetStringBytes())
 }
 
-func (a *inputMessage) optionalText(i int) string {
-	if a.value(i) == nil {
+func (m *inputMessage) optionalText(i int) string {
+	if m.value(i) == nil {
 		return ""
 	}
-	return a.text(i)
+	return m.text(i)
 }
 
-func (a *inputMessage) boolean(i int) bool {
-	v := a.value(i)
+func (m *inputMessage) boolean(i int) bool {
+	v := m.value(i)
 	if v == nil || v.Type() != fastjson.TypeTrue && v.Type() != fastjson.TypeFalse {
-		a.fail("value %d of %s is not true or false", i, clip(a.name))
+		m.fail("value %d of %s is not true or false", i, clip(m.name))
 		return false
 	}
 	return v.GetBool()
@@ -157,10 +157,10 @@
 var healthByName = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone}
 
 // entries returns value i as a list of switches.
-func (a *inputMessage) entries(i int) []policy.Entry {
-	values := a.value(i)
+func (m *inputMessage) entries(i int) []policy.Entry {
+	values := m.value(i)
 	if values == nil || values.Type() != fastjson.TypeArray {
-		a.fail("value %d of %s is not a list", i, clip(a.name))
+		m.fail("value %d of %s is not a list", i, clip(m.name))
 		return nil
 	}
 	items := values.GetArray()
@@ -177,7 +177,7 @@
 				Launched: durationOf(entry.optionalNumber(1, 0))})
 		}
 		if entry.err != nil {
-			a.fail("%s: %w", a.name, entry.err)
+			m.fail("%s: %w", m.name, entry.err)
 			return nil
 		}
 	}
@@ -205,13 +205,13 @@
 var unknownReport = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}
 
 // report returns value i as a load report, or nil if there is none.
-func (in *instance) report(a *inputMessage, i int) *policy.Report {
-	object := a.value(i)
+func (in *instance) report(message *inputMessage, i int) *policy.Report {
+	object := message.value(i)
 	if object == nil {
 		return nil
 	}
 	if object.Type() != fastjson.TypeObject {
-		a.fail("value %d of %s is not a load report", i, clip(a.name))
+		message.fail("value %d of %s is not a load report", i, clip(message.name))
 		return nil
 	}
 	r := readReport(in.reportFields, func(name string) (float64, bool) {
@@ -226,15 +226,15 @@
 }
 
 // settings decodes the settings in a Hello message.
-func (a *inputMessage) settings(i int) (policy.Config, []reportField) {
-	v := a.value(i)
+func (m *inputMessage) settings(i int) (policy.Config, []reportField) {
+	v := m.value(i)
 	if v == nil {
-		a.fail("Hello: settings are missing")
+		m.fail("Hello: settings are missing")
 		return policy.Config{}, nil
 	}
 	s, err := Decode(v)
 	if err != nil {
-		a.fail("%w", err)
+		m.fail("%w", err)
 	}
 	return s.Policy, s.reportFields
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -22,7 +22,7 @@
 	reportFields []reportField // the known fields of load reports
 }
 
-// host holds the controllers of one process and the latest lists of switches, by number.
+// host holds the controllers of one process and the last received lists of switches, each by its number.
 type host struct {
 	parser    fastjson.Parser
 	instances map[int64]*instance
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -67,6 +67,7 @@
 	}
 }
 
+// FuzzServe: malformed input ends with an error and never with a panic.
 func FuzzServe(f *testing.F) {
 	f.Add(batch(helloLine, poolLine, `["Targets",3,"C",0,0]`, demandLine))
 	f.Add(batch(helloLine, poolLine, `["Targets",3,"D",0,0]`, demandLine, `["Wake",3,1564119492]`, `["Dropped",3,1564119492]`))
--- a/isup/isup.go
+++ b/isup/isup.go
@@ -130,9 +130,9 @@
 
 // Number is an address of up to 24 digits. It is comparable and can be used as a map key.
 type Number struct {
-	Nature byte // nature of address: 3 national, 4 international (Q.763, 3.9)
-	n      uint8
-	bcd    [12]byte
+	Nature byte     // nature of address: 3 national, 4 international (Q.763, 3.9)
+	n      uint8    // number of digits
+	bcd    [12]byte // two digits per octet, the first in the low half
 }
 
 // ParseNumber parses an address of the digits 0 to 9 and the signals code 11 (b), code 12 (c) and ST (f).
@@ -191,6 +191,7 @@
 	return number, nil
 }
 
+// appendTo appends a called or calling party number; numberingPlan is its second octet of indicators.
 func (n Number) appendTo(b []byte, numberingPlan byte) []byte {
 	b = append(b, n.Nature&0x7f|n.n%2<<7, numberingPlan)
 	return append(b, n.bcd[:(n.n+1)/2]...)
@@ -260,6 +261,7 @@
 	optional        bool
 }
 
+// layouts lists the message types that this package knows.
 var layouts = map[Type]layout{
 	IAM: {5, 1, true}, ACM: {2, 0, true}, CON: {2, 0, true}, ANM: {0, 0, true}, REL: {0, 1, true}, RLC: {0, 0, true},
 	CPG: {1, 0, true}, RSC: {}, BLO: {}, UBL: {}, BLA: {}, UBA: {}, GRS: {0, 1, false}, GRA: {0, 1, false},
@@ -267,6 +269,7 @@
 	CGUA: {1, 1, false},
 }
 
+// layoutTable is layouts indexed by message type, for Decode and Append.
 var layoutTable [256]struct {
 	layout
 	known bool
@@ -346,6 +349,7 @@
 	return b[offset+1 : offset+1+int(b[offset])], nil
 }
 
+// decodeMandatory decodes the mandatory variable parameter of the given index; reason says why it is malformed.
 func (m *Message) decodeMandatory(index int, value []byte) (reason string) {
 	switch m.Type {
 	case IAM:
@@ -385,6 +389,7 @@
 	return ""
 }
 
+// decodeCause decodes cause indicators; its result says why they are malformed.
 func (m *Message) decodeCause(value []byte) string {
 	if len(value) < 2 || value[0]&0x80 == 0 && len(value) < 3 {
 		return "cause indicators too short"
@@ -398,6 +403,7 @@
 	return ""
 }
 
+// decodeOptional decodes the optional part, which begins at offset.
 func (m *Message) decodeOptional(b []byte, offset int) error {
 	for {
 		if offset >= len(b) {
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -51,6 +51,7 @@
 	{"CPG", "0100" + "2c" + "01" + "00", Message{CIC: 1, Type: CPG, EventInformation: 1}},
 }
 
+// TestCodecMatchesQ763Formats guards against an encoder and a decoder that agree with each other but not with Q.763.
 func TestCodecMatchesQ763Formats(t *testing.T) {
 	for _, s := range samples {
 		b, err := hex.DecodeString(s.hex)
@@ -106,7 +107,9 @@
 	}
 }
 
-func TestParseNumberRoundTripsAndRefusesOtherSigns(t *testing.T) {
+// TestParseNumberRoundTripsAndRefusesInvalid guards against digits that are lost or changed, and against a number that is too
+// long or has other characters being accepted.
+func TestParseNumberRoundTripsAndRefusesInvalid(t *testing.T) {
 	for _, d := range []string{"", "1", "12", "123456789012345678901234", "0bcf"} {
 		if n := mustParseNumber(t, d); n.String() != d || n.Len() != len(d) {
 			t.Errorf("%q parsed as %q", d, n)
@@ -145,6 +148,7 @@
 	}
 }
 
+// TestIAMRoundTrip guards against an IAM that loses or changes a parameter when it is encoded and decoded.
 func TestIAMRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		digits := rapid.StringMatching(`[0-9]{0,24}`)
@@ -174,6 +178,7 @@
 	})
 }
 
+// FuzzDecode: a decoded message can be encoded, and encoding is stable.
 func FuzzDecode(f *testing.F) {
 	for _, s := range samples {
 		b, _ := hex.DecodeString(s.hex)
--- a/m3ua/as.go
+++ b/m3ua/as.go
@@ -24,10 +24,10 @@
 // A call's first message is assigned by its SLS, by which the user part sequences its messages. A message that was passed to
 // an association before its loss is not sent again, because the sender cannot know whether it arrived.
 type AS struct {
-	mode         uint32
-	recovery     time.Duration
-	queueLimit   int
-	active       []uint32
+	mode         uint32        // traffic mode
+	recovery     time.Duration // T(r)
+	queueLimit   int           // octets
+	active       []uint32      // associations
 	state        ASState
 	recoveryEnd  time.Duration // end of T(r), in state ASPending
 	queued       [][]byte
--- a/m3ua/as_test.go
+++ b/m3ua/as_test.go
@@ -9,6 +9,8 @@
 	"pgregory.net/rapid"
 )
 
+// TestASRoutesByTrafficMode guards against messages sent on the wrong associations for the traffic mode, and against a
+// replaced association in a mode other than override.
 func TestASRoutesByTrafficMode(t *testing.T) {
 	frame := []byte("frame")
 	for mode, want := range map[uint32]string{
@@ -32,6 +34,8 @@
 	}
 }
 
+// TestPendingASQueuesUpToLimitUntilRecoveryEnds guards against messages that are lost or reordered while the application
+// server is pending, a queue beyond its limit, and messages that are still sent after the end of T(r).
 func TestPendingASQueuesUpToLimitUntilRecoveryEnds(t *testing.T) {
 	s := NewAS(TrafficLoadshare, 2*time.Second, 10)
 	if _, ok := s.Route([]byte("x"), 0, 0, nil); ok {
--- a/m3ua/asp.go
+++ b/m3ua/asp.go
@@ -134,6 +134,7 @@
 
 func (a *ASP) send(m *Message) { a.Out = Append(a.Out, m) }
 
+// sendRequest sends ASPUP or ASPAC and sets the deadline for its acknowledgement.
 func (a *ASP) sendRequest(request Kind, now time.Duration) {
 	m := Message{Kind: request}
 	switch request {
@@ -196,6 +197,7 @@
 	return Nothing
 }
 
+// handleServer handles the requests of the peer on the SGP end.
 func (a *ASP) handleServer(now time.Duration, m *Message) Outcome {
 	switch m.Kind {
 	case ASPUP:
--- a/m3ua/m3ua.go
+++ b/m3ua/m3ua.go
@@ -18,7 +18,7 @@
 const HeaderLen = 8
 
 // MaxFrame is the longest accepted frame in octets. An ISUP message has at most 272 octets (Q.703); the longest other message
-// is one of SSNM. A longer frame is an error of its stream.
+// is one of SSNM. The stream of a peer that sends a longer frame is closed.
 const MaxFrame = 4096
 
 // Kind is a message class (high octet) and message type (low octet) (RFC 4666, 3.1.2 and 3.1.3).
--- a/m3ua/m3ua_test.go
+++ b/m3ua/m3ua_test.go
@@ -41,6 +41,7 @@
 	{"ERR", "01000000" + "00000010" + "000c0008" + "00000006", Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage}},
 }
 
+// TestCodecMatchesRFCLayouts guards against an encoder and a decoder that agree with each other but not with RFC 4666.
 func TestCodecMatchesRFCLayouts(t *testing.T) {
 	for _, f := range sampleFrames {
 		b := unhex(t, f.hex)
@@ -64,6 +65,7 @@
 	}
 }
 
+// TestMalformedFrameGivesErrorCode guards against a malformed frame that is accepted or answered with the wrong error code.
 func TestMalformedFrameGivesErrorCode(t *testing.T) {
 	for name, c := range map[string]struct {
 		hex  string
@@ -88,9 +90,9 @@
 	}
 }
 
-// TestScannerFramesAnyReadSizes guards against frames that are lost or merged when reads and frames do not coincide, and
+// TestScannerSplitsFramesAtAnyReadSize guards against frames that are lost or merged when reads and frames do not coincide, and
 // against a wrong length field being accepted.
-func TestScannerFramesAnyReadSizes(t *testing.T) {
+func TestScannerSplitsFramesAtAnyReadSize(t *testing.T) {
 	var stream []byte
 	for _, f := range sampleFrames[1:] {
 		stream = append(stream, unhex(t, f.hex)...)
@@ -145,6 +147,7 @@
 	}
 }
 
+// FuzzDecode: a decoded message can be encoded, and encoding is stable.
 func FuzzDecode(f *testing.F) {
 	for _, x := range sampleFrames {
 		f.Add(unhex(f, x.hex))
@@ -164,6 +167,7 @@
 	})
 }
 
+// FuzzScanner: the size of the reads does not change the frames or whether there is an error.
 func FuzzScanner(f *testing.F) {
 	f.Add([]byte{1, 0, 3, 3, 0, 0, 0, 8, 1, 0, 3, 3, 0, 0, 0, 8}, 3)
 	f.Fuzz(func(t *testing.T, b []byte, step int) {
@@ -217,6 +221,8 @@
 	}
 }
 
+// TestAssociationActivatesStaysActiveAndCloses follows the two ends of one association from ASPUP to ASPDN. It guards against
+// ends that disagree about the state, and against a time-out while both answer.
 func TestAssociationActivatesStaysActiveAndCloses(t *testing.T) {
 	p := &linkedPair{t: t, asp: NewASP(Timers{}, 7, 1, 0), sgp: NewSGP(Timers{}, 0)}
 	p.exchangeFrames()
