--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -18,7 +18,7 @@
 	Classes []string      // names, in the order of Policy.Classes
 	Zones   []string
 
-	MaxPatience    time.Duration // the longest time in any class before a caller gives up
+	MaxGiveUpTime  time.Duration // longest time, over all classes, before a caller gives up
 	ConnectTimeout time.Duration // longest time for setting up a connection
 	Keepalive      time.Duration // idle connections are closed after this time; 0: not given
 	Probes         bool          // probes of switches are allowed
@@ -81,7 +81,7 @@
 		}
 		decoded.Policy.Classes = append(decoded.Policy.Classes, class)
 		decoded.Classes = append(decoded.Classes, string(entry.GetStringBytes("name")))
-		decoded.MaxPatience = max(decoded.MaxPatience, durationOf(number(entry, 0, "give_up")))
+		decoded.MaxGiveUpTime = max(decoded.MaxGiveUpTime, durationOf(number(entry, 0, "give_up")))
 	}
 	for _, tenant := range object.GetArray("accounts") {
 		decoded.Policy.Tenants = append(decoded.Policy.Tenants, policy.Tenant{Quota: number(tenant, 0, "quota_per_s")})
@@ -104,6 +104,7 @@
 	return readReport(s.reportFields, lookUp)
 }
 
+// readReport builds a load report from the values of fields that lookUp finds; values outside 0 to 1e15 stay unknown.
 func readReport(fields []reportField, lookUp func(name string) (float64, bool)) policy.Report {
 	report := unknownReport
 	for _, field := range fields {
