--- a/bench/bench.go
+++ b/bench/bench.go
@@ -388,7 +388,7 @@
 	c.lastReference++
 	called, _ := isup.ParseNumber(4, fmt.Sprintf("%04d%06d", firstFarPC+int(cic)%(c.bed.options.Exchanges-1), c.lastReference%1000000))
 	calling, _ := isup.ParseNumber(4, "82105550000")
-	c.iam = isup.Message{Type: isup.IAM, Category: isup.CategoryOrdinary, Medium: 3, Called: called, HasCalling: true, Calling: calling,
+	c.iam = isup.Message{Type: isup.IAM, Category: isup.CategoryOrdinary, TransmissionMedium: 3, Called: called, HasCalling: true, Calling: calling,
 		HasRef: true, Ref: isup.CallReference{ID: c.lastReference & 0xffff, PC: clientPC}}
 	c.bed.iamSentAt[c.lastReference&0xffff].Store(time.Since(c.bed.start).Microseconds())
 	c.data(cic, &c.iam)
--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -17,7 +17,7 @@
 func testFrame(i int) []byte {
 	called, _ := isup.ParseNumber(4, "820112345")
 	return m3ua.Append(nil, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: 101, DPC: 102, SI: 5, NI: 2,
-		User: isup.Append(nil, &isup.Message{Type: isup.IAM, CIC: uint16(i), Category: isup.CategoryOrdinary, Medium: 3, Called: called})}})
+		User: isup.Append(nil, &isup.Message{Type: isup.IAM, CIC: uint16(i), Category: isup.CategoryOrdinary, TransmissionMedium: 3, Called: called})}})
 }
 
 // writeFrames queues n frames of a connection on 127.0.0.1 in alternating directions, then runs the writer until they are written.
--- a/check/check.go
+++ b/check/check.go
@@ -757,14 +757,14 @@
 	if last.outcome == pending && last.clientReleasedAt > 0 {
 		return last.clientReleasedAt-last.alertedAt >= classSpec.Ring
 	}
-	if last.outcome != refused || last.cause != isup.CauseNoAnswer && last.cause != isup.CauseNoUser {
+	if last.outcome != refused || last.cause != isup.CauseNoAnswer && last.cause != isup.CauseNoUserResponding {
 		return false
 	}
 	if last.outcomeAt-last.alertedAt >= classSpec.Ring-time.Second {
 		return true
 	}
 	for _, a := range e.attempts[attemptKey{last.callRef, last.controller}] {
-		if a.state == returned && (a.cause == isup.CauseNoAnswer || a.cause == isup.CauseNoUser) {
+		if a.state == returned && (a.cause == isup.CauseNoAnswer || a.cause == isup.CauseNoUserResponding) {
 			return true
 		}
 	}
--- a/daemon/association.go
+++ b/daemon/association.go
@@ -141,7 +141,7 @@
 		isData := m3ua.Kind(frame[2])<<8|m3ua.Kind(frame[3]) == m3ua.DATA
 		now := a.d.now()
 		a.mu.Lock()
-		a.asp.Heard(now)
+		a.asp.Received(now)
 		active := a.asp.State() == m3ua.Active
 		a.mu.Unlock()
 		if isData && active {
@@ -171,7 +171,7 @@
 				if !post(event{kind: evUp, association: a}) {
 					return
 				}
-			case m3ua.Deactivated, m3ua.Broken:
+			case m3ua.Deactivated, m3ua.Failed:
 				// A peer that wants traffic again must open a new connection, so that no frames of the old one mix in.
 				a.close("association taken down by the peer")
 				return
@@ -223,8 +223,8 @@
 			return
 		}
 		broken := false
-		if !ending && now >= a.asp.Next() {
-			broken = a.asp.Tick(now) == m3ua.Broken
+		if !ending && now >= a.asp.NextDeadline() {
+			broken = a.asp.Tick(now) == m3ua.Failed
 		}
 		switch {
 		case len(a.asp.Out) == 0:
@@ -234,7 +234,7 @@
 			buf = slices.Insert(buf, 0, a.asp.Out...)
 		}
 		a.asp.Out = a.asp.Out[:0]
-		next := a.asp.Next()
+		next := a.asp.NextDeadline()
 		a.mu.Unlock()
 		if len(buf) > 0 {
 			a.captureSent(buf)
--- a/daemon/connect.go
+++ b/daemon/connect.go
@@ -30,7 +30,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a.peer.Name = fmt.Sprint(asp)
-	i := slices.IndexFunc(p.cfg.Clients, func(c config.Client) bool { return c.Has(asp) })
+	i := slices.IndexFunc(p.cfg.Clients, func(c config.Client) bool { return c.HasASP(asp) })
 	if i < 0 {
 		return len(p.cfg.Clients) == 0
 	}
@@ -98,7 +98,7 @@
 func (d *Daemon) accept(ctx context.Context) {
 	// handshakes limits the rate of new connections. In a storm of them the clients turned away try again later, which spreads
 	// the load.
-	handshakes := rate.NewLimiter(rate.Limit(d.cfg.Limits.Handshakes), max(1, int(d.cfg.Limits.Handshakes)))
+	handshakes := rate.NewLimiter(rate.Limit(d.cfg.Limits.HandshakeRate), max(1, int(d.cfg.Limits.HandshakeRate)))
 	taskgroup.Accept(ctx, d.clientListener, func(err error) { d.log.Error().Err(err).Msg("accept") }, func(conn net.Conn) {
 		if int(d.clients.Add(1)) > d.cfg.Limits.Clients || !handshakes.Allow() {
 			d.clients.Add(-1)
--- a/emulator/client.go
+++ b/emulator/client.go
@@ -191,7 +191,7 @@
 		}
 		switch msg.Kind {
 		case m3ua.ASPUPAck:
-			assoc.sendMessage(&m3ua.Message{Kind: m3ua.ASPAC, Traffic: m3ua.TrafficLoadshare})
+			assoc.sendMessage(&m3ua.Message{Kind: m3ua.ASPAC, TrafficMode: m3ua.TrafficLoadshare})
 		case m3ua.ASPACAck:
 			assoc.recordOpened(c.net.Log.Open(record.ClientLink, c.cfg.Controller, 0))
 			c.post(func() { c.association = assoc })
@@ -270,7 +270,7 @@
 	newCall := &clientCall{Call: call, cic: cic}
 	c.calls[cic] = newCall
 	c.Counts.Tries++
-	c.send(&isup.Message{Type: isup.IAM, CIC: cic, Category: call.Category, Medium: 3, Forward: 0x2060, Called: called, HasCalling: true, Calling: calling,
+	c.send(&isup.Message{Type: isup.IAM, CIC: cic, Category: call.Category, TransmissionMedium: 3, ForwardIndicators: 0x2060, Called: called, HasCalling: true, Calling: calling,
 		HasRef: true, Ref: isup.CallReference{ID: c.nextRef, PC: uint16(c.cfg.PC)}})
 	newCall.timer = time.AfterFunc(call.Patience, func() {
 		c.post(func() {
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -174,7 +174,7 @@
 
 // sendISUP sends an ISUP message in a DATA message.
 func (a *association) sendISUP(opc, dpc uint32, msg *isup.Message) {
-	a.sendMessage(&m3ua.Message{Kind: m3ua.DATA, HasContext: true, Context: dpc,
+	a.sendMessage(&m3ua.Message{Kind: m3ua.DATA, HasRoutingContext: true, RoutingContext: dpc,
 		Data: m3ua.ProtocolData{OPC: opc, DPC: dpc, SI: m3ua.ServiceISUP, NI: 2, SLS: byte(msg.CIC & 15), User: isup.Append(nil, msg)}})
 }
 
--- a/emulator/switch.go
+++ b/emulator/switch.go
@@ -418,7 +418,7 @@
 				kind = record.OwnLink
 			}
 			assoc.recordOpened(s.net.Log.Open(kind, pc, s.cfg.PC))
-			assoc.sendMessage(&m3ua.Message{Kind: m3ua.ASPACAck, Traffic: msg.Traffic, HasContext: true, Context: msg.Context})
+			assoc.sendMessage(&m3ua.Message{Kind: m3ua.ASPACAck, TrafficMode: msg.TrafficMode, HasRoutingContext: true, RoutingContext: msg.RoutingContext})
 			s.post(func() { s.associationActive(pc, assoc) })
 		case m3ua.BEAT:
 			assoc.sendMessage(&m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: msg.Heartbeat})
@@ -585,7 +585,7 @@
 // iam handles a new set-up.
 func (s *Switch) iam(key circuitKey, msg *isup.Message) {
 	if int(key.cic) > s.cfg.Circuits[key.far] || key.cic == 0 || slices.Contains(s.lostCircuits[key.far], key.cic) {
-		s.sendToFar(key.far, &isup.Message{Type: isup.REL, CIC: key.cic, Cause: isup.CauseNotAvailable, Location: isup.LocationNetwork})
+		s.sendToFar(key.far, &isup.Message{Type: isup.REL, CIC: key.cic, Cause: isup.CauseCircuitNotAvailable, Location: isup.LocationNetwork})
 		return
 	}
 	if existing := s.calls[key]; existing != nil && existing.state != switchCallReleasing {
@@ -628,7 +628,7 @@
 		return // CallFaultSilent: the call waits for its caller's REL
 	}
 	if s.cfg.EarlyACM && !call.transit {
-		s.sendToFar(key.far, &isup.Message{Type: isup.ACM, CIC: key.cic, Backward: 0x0416})
+		s.sendToFar(key.far, &isup.Message{Type: isup.ACM, CIC: key.cic, BackwardIndicators: 0x0416})
 	}
 	s.proc.add(job{workTime: s.workTime(1) * time.Duration(85+s.rng.IntN(31)) / 100, setUp: true,
 		extraWork: func(waited time.Duration) time.Duration {
@@ -669,7 +669,7 @@
 	call.state = switchCallProceeding
 	if call.transit {
 		if s.ownAssoc == nil {
-			s.releaseAt(call, isup.CauseOutOfOrder, isup.LocationTransit)
+			s.releaseAt(call, isup.CauseDestinationOutOfOrder, isup.LocationTransit)
 			return
 		}
 		s.sendToOwn(call.key.far, &call.iam)
@@ -695,7 +695,7 @@
 	call.calledNumber = number
 	s.linesInUse[number]++
 	if !s.cfg.EarlyACM {
-		s.sendToFar(call.key.far, &isup.Message{Type: isup.ACM, CIC: call.key.cic, Backward: 0x0416})
+		s.sendToFar(call.key.far, &isup.Message{Type: isup.ACM, CIC: call.key.cic, BackwardIndicators: 0x0416})
 	}
 	if party.noAnswer {
 		return
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -11,27 +11,27 @@
 	"github.com/umbergauge/umbergauge/policy"
 )
 
-// args are the values of one message. The first thing wrong with them stays in err.
-type args struct {
-	name string
-	v    []*fastjson.Value
-	err  error
+// inputMessage is one received message: its name and values. Its methods decode single values and record the first error in err.
+type inputMessage struct {
+	name   string
+	values []*fastjson.Value
+	err    error
 }
 
-// message parses one line.
-func (h *host) message(text []byte) (*args, error) {
-	v, err := h.parser.ParseBytes(text)
+// parseMessage parses one line: an array of a name and values.
+func (h *host) parseMessage(text []byte) (*inputMessage, error) {
+	values, err := h.parser.ParseBytes(text)
 	if err != nil {
 		return nil, fmt.Errorf("not JSON: %s", clip(string(text)))
 	}
-	list, err := v.Array()
+	list, err := values.Array()
 	if err != nil || len(list) == 0 || list[0].Type() != fastjson.TypeString {
-		return nil, errors.New("not a message: an array that begins with a name is wanted")
+		return nil, errors.New("not a message: expected an array that begins with a name")
 	}
-	return &args{name: string(list[0].GetStringBytes()), v: list[1:]}, nil
+	return &inputMessage{name: string(list[0].GetStringBytes()), values: list[1:]}, nil
 }
 
-// clip keeps foreign text short enough for a message of one line.
+// clip quotes received text for an error message and shortens it to 40 octets.
 func clip(s string) string {
 	if len(s) > 40 {
 		s = s[:40] + "..."
@@ -39,152 +39,159 @@
 	return fmt.Sprintf("%q", s)
 }
 
-func (a *args) fail(format string, values ...any) {
-	if a.err == nil {
-		a.err = fmt.Errorf(format, values...)
+// fail records an error unless there is one already.
+func (m *inputMessage) fail(format string, values ...any) {
+	if m.err == nil {
+		m.err = fmt.Errorf(format, values...)
 	}
 }
 
-func (a *args) arity(n int) {
-	if len(a.v) < n {
-		a.fail("%s has %d values, %d are wanted", clip(a.name), len(a.v), n)
+// requireValues records an error if the message has fewer than n values.
+func (m *inputMessage) requireValues(n int) {
+	if len(m.values) < n {
+		m.fail("%s has %d values, expected at least %d", clip(m.name), len(m.values), n)
 	}
 }
 
-// value is value i, or nil where it is missing or null.
-func (a *args) value(i int) *fastjson.Value {
-	if i >= len(a.v) || a.v[i].Type() == fastjson.TypeNull {
+// value returns value i, or nil if it is missing or null.
+func (m *inputMessage) value(i int) *fastjson.Value {
+	if i >= len(m.values) || m.values[i].Type() == fastjson.TypeNull {
 		return nil
 	}
-	return a.v[i]
+	return m.values[i]
 }
 
-// number reads an optional number.
-func (a *args) number(i int, missing float64) float64 {
-	v := a.value(i)
+// optionalNumber returns value i as a number of at most 1e15 in magnitude, or missing if there is none.
+func (m *inputMessage) optionalNumber(i int, missing float64) float64 {
+	v := m.value(i)
 	if v == nil {
 		return missing
 	}
 	f, err := v.Float64()
 	if err != nil || math.IsNaN(f) || math.Abs(f) > 1e15 {
-		a.fail("value %d of %s is not a fit number", i, clip(a.name))
+		m.fail("value %d of %s is not a number in the range of -1e15 to 1e15", i, clip(m.name))
 		return missing
 	}
 	return f
 }
 
-func (a *args) integer(i int) int64 {
-	if a.value(i) == nil {
-		a.fail("value %d of %s is missing", i, clip(a.name))
+// integer returns value i, which must be a whole number.
+func (m *inputMessage) integer(i int) int64 {
+	if m.value(i) == nil {
+		m.fail("value %d of %s is missing", i, clip(m.name))
 		return 0
 	}
-	f := a.number(i, 0)
+	f := m.optionalNumber(i, 0)
 	if f != math.Trunc(f) {
-		a.fail("value %d of %s is not a whole number", i, clip(a.name))
+		m.fail("value %d of %s is not a whole number", i, clip(m.name))
 	}
 	return int64(f)
 }
 
-// unsigned reads a whole number of up to 64 bits.
-func (a *args) unsigned(i int) uint64 {
-	v := a.value(i)
+// unsigned returns value i as an unsigned integer of 64 bits.
+func (m *inputMessage) unsigned(i int) uint64 {
+	v := m.value(i)
 	if v == nil {
-		a.fail("value %d of %s is missing", i, clip(a.name))
+		m.fail("value %d of %s is missing", i, clip(m.name))
 		return 0
 	}
 	u, err := v.Uint64()
 	if err != nil {
-		a.fail("value %d of %s is not a whole number", i, clip(a.name))
+		m.fail("value %d of %s is not a whole number", i, clip(m.name))
 	}
 	return u
 }
 
-func (a *args) call(i int) uint64 {
-	id := a.unsigned(i)
+// call returns value i as a call identifier of 32 bits.
+func (m *inputMessage) call(i int) uint64 {
+	id := m.unsigned(i)
 	if id >= 1<<32 {
-		a.fail("value %d of %s is no call id", i, clip(a.name))
+		m.fail("value %d of %s is not a call identifier: it exceeds 32 bits", i, clip(m.name))
 	}
 	return id
 }
 
-func (a *args) ms(i int) time.Duration {
-	if a.value(i) == nil {
-		a.fail("value %d of %s is missing", i, clip(a.name))
+// milliseconds returns value i, a number of milliseconds, as a duration.
+func (m *inputMessage) milliseconds(i int) time.Duration {
+	if m.value(i) == nil {
+		m.fail("value %d of %s is missing", i, clip(m.name))
 		return 0
 	}
-	return millis(a.number(i, 0))
+	return durationOf(m.optionalNumber(i, 0))
 }
 
-func millis(ms float64) time.Duration {
-	if math.Abs(ms) > 9e12 { // keeps within a Duration
+// durationOf converts milliseconds, rounded to microseconds.
+func durationOf(ms float64) time.Duration {
+	if math.Abs(ms) > 9e12 { // the result must fit into a Duration
 		ms = math.Copysign(9e12, ms)
 	}
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
-func (a *args) text(i int) string {
-	v := a.value(i)
+func (m *inputMessage) text(i int) string {
+	v := m.value(i)
 	if v == nil || v.Type() != fastjson.TypeString {
-		a.fail("value %d of %s is not a text", i, clip(a.name))
+		m.fail("value %d of %s is not a string", i, clip(m.name))
 		return ""
 	}
 	return string(v.GetStringBytes())
 }
 
-func (a *args) optText(i int) string {
-	if a.value(i) == nil {
+func (m *inputMessage) optionalText(i int) string {
+	if m.value(i) == nil {
 		return ""
 	}
-	return a.text(i)
+	return m.text(i)
 }
 
-func (a *args) boolean(i int) bool {
-	v := a.value(i)
+func (m *inputMessage) boolean(i int) bool {
+	v := m.value(i)
 	if v == nil || v.Type() != fastjson.TypeTrue && v.Type() != fastjson.TypeFalse {
-		a.fail("value %d of %s is not true or false", i, clip(a.name))
+		m.fail("value %d of %s is not true or false", i, clip(m.name))
 		return false
 	}
 	return v.GetBool()
 }
 
-// healths maps the list's states.
-var healths = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Removed}
+// healthByName maps the states of switches in a list.
+var healthByName = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Removed}
 
-func (a *args) entries(i int) []policy.Entry {
-	v := a.value(i)
-	if v == nil || v.Type() != fastjson.TypeArray {
-		a.fail("value %d of %s is not a list", i, clip(a.name))
+// entries returns value i as a list of switches.
+func (m *inputMessage) entries(i int) []policy.Entry {
+	values := m.value(i)
+	if values == nil || values.Type() != fastjson.TypeArray {
+		m.fail("value %d of %s is not a list", i, clip(m.name))
 		return nil
 	}
-	items := v.GetArray()
+	items := values.GetArray()
 	entries := make([]policy.Entry, 0, len(items))
 	for _, item := range items {
-		e := &args{name: "entry", v: item.GetArray()}
-		e.arity(7)
-		if e.err == nil {
-			health, ok := healths[e.text(4)]
+		entry := &inputMessage{name: "entry", values: item.GetArray()}
+		entry.requireValues(7)
+		if entry.err == nil {
+			health, ok := healthByName[entry.text(4)]
 			if !ok {
-				e.fail("unknown health %s", clip(e.text(4)))
+				entry.fail("unknown health state %s", clip(entry.text(4)))
 			}
-			entries = append(entries, policy.Entry{Address: e.text(5), PointCode: int(e.integer(6)), Health: health,
-				StartedAt: millis(e.number(1, 0))})
+			entries = append(entries, policy.Entry{Address: entry.text(5), PointCode: int(entry.integer(6)), Health: health,
+				StartedAt: durationOf(entry.optionalNumber(1, 0))})
 		}
-		if e.err != nil {
-			a.fail("%s: %w", a.name, e.err)
+		if entry.err != nil {
+			m.fail("%s: %w", m.name, entry.err)
 			return nil
 		}
 	}
 	return entries
 }
 
-// field sets one value of a load report.
-type field struct {
+// reportField is a field of a load report: its name and how its value is stored.
+type reportField struct {
 	name string
 	set  func(*policy.Report, float64)
 }
 
-// reportFields maps the names that load reports may use.
-var reportFields = map[string]func(*policy.Report, float64){
+// reportFieldByName maps the known field names of load reports.
+var reportFieldByName = map[string]func(*policy.Report, float64){
 	"free":      func(r *policy.Report, f float64) { r.Free = f },
 	"size":      func(r *policy.Report, f float64) { r.Size = f },
 	"cpu_share": func(r *policy.Report, f float64) { r.Utilisation = f },
@@ -194,39 +201,40 @@
 	"hold_back": func(r *policy.Report, f float64) { r.Reduction = f },
 }
 
+// unknownReport has the value -1, unknown, in all fields.
 var unknownReport = policy.Report{Free: -1, Size: -1, Utilisation: -1, Queue: -1, Rate: -1, Wait: -1, Reduction: -1}
 
-// report reads a load report, or nil where there is none.
-func (in *instance) report(a *args, i int) *policy.Report {
-	v := a.value(i)
-	if v == nil {
+// report returns value i as a load report, or nil if there is none.
+func (in *instance) report(message *inputMessage, i int) *policy.Report {
+	object := message.value(i)
+	if object == nil {
 		return nil
 	}
-	if v.Type() != fastjson.TypeObject {
-		a.fail("value %d of %s is not a load report", i, clip(a.name))
+	if object.Type() != fastjson.TypeObject {
+		message.fail("value %d of %s is not a load report", i, clip(message.name))
 		return nil
 	}
-	r := reportOf(in.fields, func(name string) (float64, bool) {
-		x := v.Get(name)
-		if x == nil {
+	r := readReport(in.reportFields, func(name string) (float64, bool) {
+		field := object.Get(name)
+		if field == nil {
 			return 0, false
 		}
-		n, err := x.Float64()
-		return n, err == nil
+		number, err := field.Float64()
+		return number, err == nil
 	})
 	return &r
 }
 
-// config translates the settings of Hello.
-func (a *args) config(i int) (policy.Config, []field) {
-	v := a.value(i)
+// settings decodes the settings in a Hello message.
+func (m *inputMessage) settings(i int) (policy.Config, []reportField) {
+	v := m.value(i)
 	if v == nil {
-		a.fail("Hello has no settings")
+		m.fail("Hello: settings are missing")
 		return policy.Config{}, nil
 	}
 	s, err := Decode(v)
 	if err != nil {
-		a.fail("%w", err)
+		m.fail("%w", err)
 	}
-	return s.Policy, s.fields
+	return s.Policy, s.reportFields
 }
--- a/load/run.go
+++ b/load/run.go
@@ -310,7 +310,7 @@
 		var reply *m3ua.Message
 		switch msg.Kind {
 		case m3ua.ASPUPAck:
-			reply = &m3ua.Message{Kind: m3ua.ASPAC, Traffic: m3ua.TrafficOverride}
+			reply = &m3ua.Message{Kind: m3ua.ASPAC, TrafficMode: m3ua.TrafficOverride}
 		case m3ua.ASPACAck:
 			if !c.post(ctx, func() { c.outgoing = outgoing; onActive() }) {
 				return
@@ -404,7 +404,7 @@
 	call.state = statePending
 	r.openCalls++
 	r.sendDelay.RecordValue(max(1, (r.now() - call.due).Microseconds()))
-	c.send(&isup.Message{Type: isup.IAM, CIC: call.cic, Category: isup.Category(class.Category), Medium: 3, Called: called, HasCalling: true, Calling: calling,
+	c.send(&isup.Message{Type: isup.IAM, CIC: call.cic, Category: isup.Category(class.Category), TransmissionMedium: 3, Called: called, HasCalling: true, Calling: calling,
 		HasRef: true, Ref: isup.CallReference{ID: r.lastReference & 0xffffff, PC: uint16(c.pc)}})
 	call.timer = r.wheel.Set(call.due+class.Patience, func() {
 		r.t.Abandoned++
@@ -484,7 +484,7 @@
 		switch {
 		case call.state == statePending, call.state == stateAlerted:
 			r.t.Refused++
-			if msg.Cause != isup.CauseNoAnswer && msg.Cause != isup.CauseNoUser { // the called party does not answer: an immediate redial would be of no use
+			if msg.Cause != isup.CauseNoAnswer && msg.Cause != isup.CauseNoUserResponding { // the called party does not answer: an immediate redial would be of no use
 				c.redial(call)
 			}
 		case msg.Cause == isup.CauseNormal:
--- a/m3ua/asp.go
+++ b/m3ua/asp.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// State is the state of an association as its two ends see it (RFC 4666, 4.3.1).
+// State is the state of the ASP on one association; both ends track it (RFC 4666, 4.3.1).
 type State uint8
 
 // The states of an ASP.
@@ -17,13 +17,13 @@
 
 func (s State) String() string { return [...]string{"down", "inactive", "active"}[s] }
 
-// Timers of an association. Zero values are replaced by the defaults in brackets.
+// Timers are the timers and retry limits of an association. A zero value stands for the default in brackets.
 type Timers struct {
-	Ack   time.Duration // T(ack): a request without its acknowledgement is sent again (2 s; RFC 4666, 4.3.4.1)
-	Tries int           // requests sent in vain before the association is given up (3)
-	Beat  time.Duration // between two heartbeats (5 s)
-	// BeatLimit: nothing at all heard for so long, the association is given up (2 times Beat). It is given up sooner when as
-	// many heartbeats as Tries have had no answer within the time that answers take, doubled from one to the next.
+	Ack   time.Duration // T(ack), after which an unacknowledged request is sent again (2 s; RFC 4666, 4.3.4.1)
+	Tries int           // unacknowledged requests or heartbeats after which the association fails (3)
+	Beat  time.Duration // T(beat), the interval between heartbeats (5 s)
+	// BeatLimit is how long nothing at all may be received before the association fails (2 times Beat). It fails sooner when
+	// Tries heartbeats in a row time out; their time-out follows the measured round-trip time and doubles each time.
 	BeatLimit time.Duration
 }
 
@@ -43,121 +43,125 @@
 	return t
 }
 
-// Outcome is what an association makes of a message or of the time.
+// Outcome is the result of a message or of a timer.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Nothing     Outcome = iota
-	Deliver             // a message for the user: DATA, SSNM or NTFY
+	Deliver             // the message is for the user part: DATA, SSNM or NTFY
 	Activated           // traffic may flow from now on
-	Deactivated         // traffic stops; the connection stays
-	Broken              // the association is of no use any more: close the connection
+	Deactivated         // traffic stops; the connection stays open
+	Failed              // the association has failed or was taken down: close the connection
 )
 
-// ASP is the end of an association that asks for traffic: it sends ASPUP and ASPAC (RFC 4666, 4.3.4). SGP, the other
-// end, answers. Both are fed each message and the time, and append frames to be sent to Out.
+// ASP is the state machine of one end of an association. The ASP end sends ASPUP and ASPAC to request traffic (RFC 4666,
+// 4.3.4); the SGP end, made by NewSGP, acknowledges them. The owner passes in each message and the time, and sends the frames
+// that are appended to Out.
 type ASP struct {
-	Out []byte // frames to be sent; the owner takes them and cuts the slice
+	Out []byte // frames to be sent; the owner empties it
 
-	t       Timers
-	server  bool
-	state   State
-	id      uint32
-	context uint32
-	traffic uint32
-	want    Kind // acknowledgement awaited; 0: none
-	tries   int
-	due     time.Duration // of the acknowledgement
-	heard   time.Duration
-	beatAt  time.Duration
-	beats   uint64
-	probe   probe
+	timers       Timers
+	server       bool // this is the SGP end
+	state        State
+	id           uint32        // ASP identifier
+	context      uint32        // routing context
+	trafficMode  uint32        // requested by the peer; used on the SGP end
+	awaited      Kind          // acknowledgement, or on the SGP end request, that is awaited; 0: none
+	unacked      int           // requests sent in a row without an acknowledgement
+	ackDeadline  time.Duration // for the awaited message
+	lastReceived time.Duration // when the last message of any kind arrived
+	nextBeat     time.Duration
+	beatCount    uint64
+	heartbeat    heartbeat
 }
 
-// probe is a heartbeat that has no acknowledgement yet, and what is known of the time that they take (RFC 6298, section 2).
-type probe struct {
-	sent       [8]time.Duration // of the last ones, by number
-	due        time.Duration    // of the acknowledgement; 0: none is awaited
-	missed     int
-	smoothed   time.Duration // SRTT; 0: none was measured
-	variation  time.Duration // RTTVAR
-	retransmit time.Duration // RTO
+// heartbeat supervises the acknowledgements of heartbeats. Their time-out is computed from the round-trip time as in RFC 6298,
+// section 2.
+type heartbeat struct {
+	sentAt      [8]time.Duration // of the last heartbeats, by number modulo 8; 0: already acknowledged
+	ackDeadline time.Duration    // for an acknowledgement; 0: none is awaited
+	missed      int              // time-outs in a row
+	srtt        time.Duration    // SRTT, the smoothed round-trip time; 0: not measured yet
+	rttvar      time.Duration    // RTTVAR, the round-trip time variation
+	rto         time.Duration    // RTO, the time-out before any doubling
 }
 
-// The bounds of RTO. A peer may stand still for a second and more (a collection of garbage, a moved machine): with three
-// heartbeats the floor gives it three and a half.
+// The initial and the lowest RTO. A peer may pause for more than a second, for example for garbage collection or a live
+// migration of its machine. With the lowest RTO, three heartbeats time out after 0.5 + 1 + 2 = 3.5 s.
 const (
-	firstRTO = time.Second
-	leastRTO = 500 * time.Millisecond
+	initialRTO = time.Second
+	minRTO     = 500 * time.Millisecond
 )
 
-// measured takes the time that an acknowledgement took.
-func (p *probe) measured(d time.Duration) {
-	if p.smoothed == 0 {
-		p.smoothed, p.variation = d, d/2
+// updateRTO updates the time-out with a measured round-trip time.
+func (p *heartbeat) updateRTO(roundTrip time.Duration) {
+	if p.srtt == 0 {
+		p.srtt, p.rttvar = roundTrip, roundTrip/2
 	} else {
-		p.variation += ((p.smoothed - d).Abs() - p.variation) / 4
-		p.smoothed += (d - p.smoothed) / 8
+		p.rttvar += ((p.srtt - roundTrip).Abs() - p.rttvar) / 4
+		p.srtt += (roundTrip - p.srtt) / 8
 	}
-	p.retransmit = max(leastRTO, p.smoothed+4*p.variation)
+	p.rto = max(minRTO, p.srtt+4*p.rttvar)
 }
 
-// NewASP makes the asking end, opened at now. id is the ASP identifier, context the routing context.
-func NewASP(t Timers, id, context uint32, now time.Duration) *ASP {
-	a := &ASP{t: t.withDefaults(), id: id, context: context, heard: now}
-	a.beatAt = now + a.t.Beat
-	a.request(ASPUP, now)
+// NewASP returns the ASP end of an association whose connection was opened at now. id is the ASP identifier, context the
+// routing context.
+func NewASP(timers Timers, id, context uint32, now time.Duration) *ASP {
+	a := &ASP{timers: timers.withDefaults(), id: id, context: context, lastReceived: now}
+	a.nextBeat = now + a.timers.Beat
+	a.sendRequest(ASPUP, now)
 	return a
 }
 
-// NewSGP makes the answering end, opened at now.
-func NewSGP(t Timers, now time.Duration) *ASP {
-	a := &ASP{t: t.withDefaults(), server: true, heard: now}
-	a.beatAt = now + a.t.Beat
-	// A peer that opens a connection and never says ASPUP is given up like one that never answers.
-	a.want, a.tries, a.due = ASPUP, a.t.Tries, now+time.Duration(a.t.Tries)*a.t.Ack
+// NewSGP returns the SGP end of an association whose connection was opened at now.
+func NewSGP(timers Timers, now time.Duration) *ASP {
+	a := &ASP{timers: timers.withDefaults(), server: true, lastReceived: now}
+	a.nextBeat = now + a.timers.Beat
+	// A peer that opens a connection but never sends ASPUP is closed after the same time as one that never acknowledges.
+	a.awaited, a.unacked, a.ackDeadline = ASPUP, a.timers.Tries, now+time.Duration(a.timers.Tries)*a.timers.Ack
 	return a
 }
 
-// State is the present state.
+// State returns the current state.
 func (a *ASP) State() State { return a.state }
 
-// Override tells, on the answering end, that the peer asked for traffic mode override (RFC 4666, 4.3.4.3).
-func (a *ASP) Override() bool { return a.traffic == TrafficOverride }
+// Override reports, on the SGP end, whether the peer requested traffic mode override (RFC 4666, 4.3.4.3).
+func (a *ASP) Override() bool { return a.trafficMode == TrafficOverride }
 
-// ID is the ASP identifier, of the peer on the answering end.
+// ID returns the ASP identifier: the own one on the ASP end, the peer's on the SGP end.
 func (a *ASP) ID() uint32 { return a.id }
 
 func (a *ASP) send(m *Message) { a.Out = Append(a.Out, m) }
 
-func (a *ASP) request(k Kind, now time.Duration) {
-	m := Message{Kind: k}
-	switch k {
+// sendRequest sends ASPUP or ASPAC and sets the deadline for its acknowledgement.
+func (a *ASP) sendRequest(request Kind, now time.Duration) {
+	m := Message{Kind: request}
+	switch request {
 	case ASPUP:
 		m.HasASPID, m.ASPID = true, a.id
-		a.want = ASPUPAck
+		a.awaited = ASPUPAck
 	case ASPAC:
-		m.Traffic, m.HasContext, m.Context = TrafficLoadshare, true, a.context
-		a.want = ASPACAck
+		m.TrafficMode, m.HasRoutingContext, m.RoutingContext = TrafficLoadshare, true, a.context
+		a.awaited = ASPACAck
 	}
 	a.send(&m)
-	a.due = now + a.t.Ack
+	a.ackDeadline = now + a.timers.Ack
 }
 
-// Handle takes one decoded message.
+// Handle handles one decoded message.
 func (a *ASP) Handle(now time.Duration, m *Message) Outcome {
-	a.Heard(now)
+	a.Received(now)
 	switch m.Kind {
 	case BEAT:
 		a.send(&Message{Kind: BEATAck, Heartbeat: m.Heartbeat})
 		return Nothing
 	case BEATAck:
-		if len(m.Heartbeat) == 8 { // its own number comes back, so that a repeated one is no riddle (Karn)
-			if n := binary.BigEndian.Uint64(m.Heartbeat); n > 0 && n <= a.beats && n+uint64(len(a.probe.sent)) > a.beats {
-				if sent := &a.probe.sent[n%uint64(len(a.probe.sent))]; *sent > 0 { // once for each
-					a.probe.measured(now - *sent)
-					*sent = 0
+		if len(m.Heartbeat) == 8 { // the number of the acknowledged heartbeat: a round trip is measured without ambiguity (Karn's algorithm)
+			if number := binary.BigEndian.Uint64(m.Heartbeat); number > 0 && number <= a.beatCount && number+uint64(len(a.heartbeat.sentAt)) > a.beatCount {
+				if sentAt := &a.heartbeat.sentAt[number%uint64(len(a.heartbeat.sentAt))]; *sentAt > 0 { // the first acknowledgement of this heartbeat
+					a.heartbeat.updateRTO(now - *sentAt)
+					*sentAt = 0
 				}
 			}
 		}
@@ -166,7 +170,7 @@
 		return Nothing
 	case DATA, DUNA, DAVA, DAUD, SCON, DUPU, DRST:
 		if a.state != Active { // RFC 4666, 4.3.4.3: no traffic from an ASP that is not active
-			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpected})
+			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage})
 			return Nothing
 		}
 		return Deliver
@@ -174,53 +178,54 @@
 		return Deliver
 	}
 	if a.server {
-		return a.serve(now, m)
+		return a.handleServer(now, m)
 	}
 	switch {
-	case m.Kind == ASPUPAck && a.want == ASPUPAck:
-		a.state, a.tries = Inactive, 0
-		a.request(ASPAC, now)
-	case m.Kind == ASPACAck && a.want == ASPACAck:
-		a.state, a.want = Active, 0
+	case m.Kind == ASPUPAck && a.awaited == ASPUPAck:
+		a.state, a.unacked = Inactive, 0
+		a.sendRequest(ASPAC, now)
+	case m.Kind == ASPACAck && a.awaited == ASPACAck:
+		a.state, a.awaited = Active, 0
 		return Activated
-	case m.Kind == ASPDNAck && a.state != Down: // unasked: the peer takes the ASP down (RFC 4666, 4.3.4.2)
-		return a.drop(Broken)
-	case m.Kind == ASPIAAck && a.state == Active: // unasked: traffic is taken away
+	case m.Kind == ASPDNAck && a.state != Down: // unsolicited: the peer takes the ASP down (RFC 4666, 4.3.4.2)
+		return a.setDown(Failed)
+	case m.Kind == ASPIAAck && a.state == Active: // unsolicited: the peer makes the ASP inactive; ASPAC is sent again after T(ack)
 		a.state = Inactive
-		a.want, a.tries, a.due = ASPACAck, 0, now+a.t.Ack
+		a.awaited, a.unacked, a.ackDeadline = ASPACAck, 0, now+a.timers.Ack
 		return Deactivated
 	}
 	return Nothing
 }
 
-func (a *ASP) serve(now time.Duration, m *Message) Outcome {
+// handleServer handles the requests of the peer on the SGP end.
+func (a *ASP) handleServer(now time.Duration, m *Message) Outcome {
 	switch m.Kind {
 	case ASPUP:
 		if m.HasASPID {
 			a.id = m.ASPID
 		}
-		was := a.state
-		a.state, a.want = Inactive, ASPAC
-		a.due = now + time.Duration(a.t.Tries)*a.t.Ack
+		previous := a.state
+		a.state, a.awaited = Inactive, ASPAC
+		a.ackDeadline = now + time.Duration(a.timers.Tries)*a.timers.Ack
 		a.send(&Message{Kind: ASPUPAck})
-		if was == Active { // an ASPUP in state active: it has started anew (RFC 4666, 4.3.4.1)
-			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpected})
+		if previous == Active { // the peer has restarted (RFC 4666, 4.3.4.1)
+			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage})
 			return Deactivated
 		}
 		a.send(&Message{Kind: NTFY, StatusType: StatusASState, StatusInfo: InfoASInactive})
 	case ASPAC:
 		if a.state == Down {
-			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpected})
+			a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage})
 			return Nothing
 		}
-		was := a.state
-		a.state, a.want, a.traffic = Active, 0, m.Traffic
-		a.send(&Message{Kind: ASPACAck, Traffic: m.Traffic, HasContext: m.HasContext, Context: m.Context})
-		if was != Active {
+		previous := a.state
+		a.state, a.awaited, a.trafficMode = Active, 0, m.TrafficMode
+		a.send(&Message{Kind: ASPACAck, TrafficMode: m.TrafficMode, HasRoutingContext: m.HasRoutingContext, RoutingContext: m.RoutingContext})
+		if previous != Active {
 			a.send(&Message{Kind: NTFY, StatusType: StatusASState, StatusInfo: InfoASActive})
 			return Activated
 		}
-		if m.Traffic == TrafficOverride { // another may have taken its place: it asks to have its traffic again
+		if m.TrafficMode == TrafficOverride { // another ASP may have taken over the traffic; this one requests it back
 			return Activated
 		}
 	case ASPIA:
@@ -231,83 +236,83 @@
 		}
 	case ASPDN:
 		a.send(&Message{Kind: ASPDNAck})
-		return a.drop(Broken)
+		return a.setDown(Failed)
 	default:
-		a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpected})
+		a.send(&Message{Kind: ERR, ErrorCode: ErrUnexpectedMessage})
 	}
 	return Nothing
 }
 
-func (a *ASP) drop(o Outcome) Outcome {
-	a.state, a.want = Down, 0
-	return o
+func (a *ASP) setDown(outcome Outcome) Outcome {
+	a.state, a.awaited = Down, 0
+	return outcome
 }
 
-// Next is the time at which Tick must be called at the latest.
-func (a *ASP) Next() time.Duration {
-	next := min(a.beatAt, a.heard+a.t.BeatLimit)
-	if a.want != 0 {
-		next = min(next, a.due)
+// NextDeadline returns the time by which Tick must be called.
+func (a *ASP) NextDeadline() time.Duration {
+	next := min(a.nextBeat, a.lastReceived+a.timers.BeatLimit)
+	if a.awaited != 0 {
+		next = min(next, a.ackDeadline)
 	}
-	if a.probe.due != 0 {
-		next = min(next, a.probe.due)
+	if a.heartbeat.ackDeadline != 0 {
+		next = min(next, a.heartbeat.ackDeadline)
 	}
 	return next
 }
 
-// Tick lets time pass: it repeats requests, sends heartbeats and gives up a silent peer.
+// Tick handles the timers that are due at now: it sends requests again, sends heartbeats and detects an unresponsive peer.
 func (a *ASP) Tick(now time.Duration) Outcome {
-	if now >= a.heard+a.t.BeatLimit {
-		return a.drop(Broken)
+	if now >= a.lastReceived+a.timers.BeatLimit {
+		return a.setDown(Failed)
 	}
-	if a.want != 0 && now >= a.due {
-		if a.tries++; a.tries >= a.t.Tries {
-			return a.drop(Broken)
+	if a.awaited != 0 && now >= a.ackDeadline {
+		if a.unacked++; a.unacked >= a.timers.Tries {
+			return a.setDown(Failed)
 		}
-		if a.want == ASPUPAck {
-			a.request(ASPUP, now)
+		if a.awaited == ASPUPAck {
+			a.sendRequest(ASPUP, now)
 		} else {
-			a.request(ASPAC, now)
+			a.sendRequest(ASPAC, now)
 		}
 	}
-	if p := &a.probe; p.due != 0 && now >= p.due {
-		if p.missed++; p.missed >= a.t.Tries {
-			return a.drop(Broken)
+	if p := &a.heartbeat; p.ackDeadline != 0 && now >= p.ackDeadline {
+		if p.missed++; p.missed >= a.timers.Tries {
+			return a.setDown(Failed)
 		}
-		a.beat(now)
+		a.sendHeartbeat(now)
 	}
-	if now >= a.beatAt {
-		a.beat(now)
+	if now >= a.nextBeat {
+		a.sendHeartbeat(now)
 	}
 	return Nothing
 }
 
-// beat sends a heartbeat and awaits its acknowledgement.
-func (a *ASP) beat(now time.Duration) {
-	p := &a.probe
-	a.beats++
-	a.send(&Message{Kind: BEAT, Heartbeat: binary.BigEndian.AppendUint64(nil, a.beats)})
-	a.beatAt = now + a.t.Beat
-	p.sent[a.beats%uint64(len(p.sent))] = now
-	if p.retransmit == 0 {
-		p.retransmit = firstRTO
+// sendHeartbeat sends a heartbeat and sets the deadline for its acknowledgement.
+func (a *ASP) sendHeartbeat(now time.Duration) {
+	p := &a.heartbeat
+	a.beatCount++
+	a.send(&Message{Kind: BEAT, Heartbeat: binary.BigEndian.AppendUint64(nil, a.beatCount)})
+	a.nextBeat = now + a.timers.Beat
+	p.sentAt[a.beatCount%uint64(len(p.sentAt))] = now
+	if p.rto == 0 {
+		p.rto = initialRTO
 	}
-	p.due = now + p.retransmit<<p.missed
+	p.ackDeadline = now + p.rto<<p.missed
 }
 
-// RoundTrip is the smoothed time that heartbeats take; 0: none was answered.
-func (a *ASP) RoundTrip() time.Duration { return a.probe.smoothed }
+// RoundTrip returns the smoothed round-trip time of heartbeats; 0: not measured yet.
+func (a *ASP) RoundTrip() time.Duration { return a.heartbeat.srtt }
 
-// Close says that the association ends: ASPDN from the asking end.
+// Close ends the association; the ASP end sends ASPDN.
 func (a *ASP) Close() {
 	if !a.server && a.state != Down {
 		a.send(&Message{Kind: ASPDN})
 	}
-	a.drop(Nothing)
+	a.setDown(Nothing)
 }
 
-// Heard notes that a message came that the owner deals with itself.
-func (a *ASP) Heard(now time.Duration) {
-	a.heard = now
-	a.probe.due, a.probe.missed = 0, 0 // whatever it was, the peer is there
+// Received records the arrival of a message. The owner calls it for a message that it does not pass to Handle.
+func (a *ASP) Received(now time.Duration) {
+	a.lastReceived = now
+	a.heartbeat.ackDeadline, a.heartbeat.missed = 0, 0 // any message shows that the peer is alive
 }
--- a/scenario/scenario.go
+++ b/scenario/scenario.go
@@ -234,7 +234,7 @@
 			span(key("ring"), c.Ring, time.Second, 10*time.Minute)
 		}
 		if err := c.Ringing.Check(); err != nil {
-			checker.Fail(key("ringing"), "%v", err)
+			checker.Errorf(key("ringing"), "%v", err)
 		}
 	}
 	checker.Must(sum > 0, "traffic.classes", "the shares add up to nothing")
--- a/trunk/trunk.go
+++ b/trunk/trunk.go
@@ -724,7 +724,7 @@
 			g.resetCircuit(id.CIC)
 			return
 		}
-		g.sendREL(id.CIC, isup.CauseTimer)
+		g.sendREL(id.CIC, isup.CauseTimerExpiry)
 		g.startTimer(g.timers.T1, id.CIC, timerRelease)
 	case id.Kind == timerReset && c.state == Resetting:
 		g.sendFar(isup.RSC, id.CIC)
