--- a/admission/admission.go
+++ b/admission/admission.go
@@ -240,5 +240,5 @@
 	return level, changed
 }
 
-// Open returns the number of the client's open calls.
-func (c *Client) Open() int { return c.open }
+// OpenCalls returns the number of the client's open calls.
+func (c *Client) OpenCalls() int { return c.open }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -96,8 +96,8 @@
 	for range 200 {
 		d.Admit(greedy, time.Second)
 	}
-	if greedy.Open() != 100 {
-		t.Errorf("%d open calls while the other client has none, want 100", greedy.Open())
+	if greedy.OpenCalls() != 100 {
+		t.Errorf("%d open calls while the other client has none, want 100", greedy.OpenCalls())
 	}
 	if d.Admit(other, time.Second) != Admitted || d.Admit(greedy, time.Second) != TotalOpen {
 		t.Error("the client with all open calls was admitted or the other one refused")
--- a/controller/calls.go
+++ b/controller/calls.go
@@ -377,7 +377,7 @@
 // established calls has not restarted. One that reports none is treated as cold, which is the safe assumption.
 func (c *Core) handleQueryResponse(far *farExchange, message *isup.Message) {
 	wasInSync := far.group.InSync()
-	far.knowsCalls = far.knowsCalls || far.group.Remembered(message)
+	far.knowsCalls = far.knowsCalls || far.group.KnowsEstablishedCall(message)
 	far.group.FromFar(message)
 	c.runGroupActions(far)
 	if wasInSync || !far.group.InSync() || !far.mayHaveRestarted {
@@ -385,7 +385,7 @@
 	}
 	far.mayHaveRestarted = false
 	if !far.knowsCalls {
-		far.launched = c.now
+		far.startedAt = c.now
 		if far.health == policy.Ready {
 			c.listChanged(far.entry())
 		}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -289,9 +289,9 @@
 	group       *trunk.Group // nil: no group
 	dirty       bool         // its circuits have changed since the policy engine was last notified
 	health      policy.Health
-	// launched is the start time reported to the policy engine. mayHaveRestarted: signalling was lost since then, so the
+	// startedAt is the start time reported to the policy engine. mayHaveRestarted: signalling was lost since then, so the
 	// switch may have restarted.
-	launched         time.Duration
+	startedAt        time.Duration
 	mayHaveRestarted bool
 	knowsCalls       bool // since signalling came up it has reported an established call of ours
 	reached          bool // an association to it has been up before
@@ -494,7 +494,7 @@
 	}
 	var entries []policy.Entry
 	for _, far := range c.farExchanges[known:] {
-		far.launched, far.mayHaveRestarted = now, true // its start time is unknown, so it is treated as cold
+		far.startedAt, far.mayHaveRestarted = now, true // its start time is unknown, so it is treated as cold
 		entries = append(entries, far.entry())
 	}
 	c.listChanged(entries...)
@@ -513,7 +513,7 @@
 }
 
 func (far *farExchange) entry() policy.Entry {
-	return policy.Entry{Address: far.Address, PointCode: int(far.PointCode), Health: far.health, StartedAt: far.launched}
+	return policy.Entry{Address: far.Address, PointCode: int(far.PointCode), Health: far.health, StartedAt: far.startedAt}
 }
 
 // Next returns the time at which Tick is due; false: no timer is set.
@@ -732,7 +732,7 @@
 	far.Address = address
 	c.byAddress[address] = far
 	if far.reached || far.mayHaveRestarted {
-		far.launched, far.mayHaveRestarted = c.now, false
+		far.startedAt, far.mayHaveRestarted = c.now, false
 	}
 	if far.health == policy.Ready {
 		c.listChanged(far.entry())
@@ -1062,7 +1062,7 @@
 	outgoing.HasHops, outgoing.Hops = true, call.iam.Hops-1
 	outgoing.HasDelay, outgoing.Delay = true, uint16(min(call.earlierDelay+c.now-call.arrivedAt, math.MaxUint16*time.Millisecond)/time.Millisecond)
 	if !c.sendToFar(far, &outgoing) {
-		far.group.Unseize(cic)
+		far.group.CancelSeizure(cic)
 		endUnsent(policy.NotSent, policy.NoReason)
 		return
 	}
@@ -1196,8 +1196,8 @@
 // Ringing returns the number of calls that ring.
 func (c *Core) Ringing() int { return c.ringing }
 
-// Open returns the number of calls in the table.
-func (c *Core) Open() int { return len(c.calls) }
+// OpenCalls returns the number of calls in the table.
+func (c *Core) OpenCalls() int { return len(c.calls) }
 
 // ReleaseAll releases every established call, before the daemon exits.
 func (c *Core) ReleaseAll(now time.Duration) {
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -204,8 +204,8 @@
 	r.expectOne(clientAssoc, isup.RLC)
 	r.expectOne(far2, isup.REL)
 	r.receive(far2, 2, isup.Message{Type: isup.RLC, CIC: m.CIC})
-	if r.c.Open() != 0 || r.c.Waiting() != 0 || r.c.byPC[2].group.Free() != 10 {
-		t.Errorf("%d calls open, %d circuits free", r.c.Open(), r.c.byPC[2].group.Free())
+	if r.c.OpenCalls() != 0 || r.c.Waiting() != 0 || r.c.byPC[2].group.Free() != 10 {
+		t.Errorf("%d calls open, %d circuits free", r.c.OpenCalls(), r.c.byPC[2].group.Free())
 	}
 	if c := r.c.Counters; c.Established != 1 || c.Finished != 1 || c.Offered != 1 {
 		t.Errorf("%+v", c)
@@ -264,7 +264,7 @@
 	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic})
 	r.expectNone(clientAssoc)
 	r.receive(far2, 2, isup.Message{Type: isup.RLC, CIC: cic})
-	if r.c.byPC[2].group.Free() != 10 || r.c.Open() != 0 {
+	if r.c.byPC[2].group.Free() != 10 || r.c.OpenCalls() != 0 {
 		t.Error("a call or a seized circuit is left")
 	}
 	if record := r.records[len(r.records)-1]; record.Outcome != Abandoned {
@@ -346,15 +346,15 @@
 			t.Errorf("caller received %v on circuit %d", m.Type, m.CIC)
 		}
 	}
-	if r.c.Open() != 1 {
-		t.Fatalf("%d calls open", r.c.Open())
+	if r.c.OpenCalls() != 1 {
+		t.Fatalf("%d calls open", r.c.OpenCalls())
 	}
 	r.farUp(far2, 2, "h2", false) // all circuits idle there: it has restarted
 	if m := r.expectOne(clientAssoc, isup.REL); m.CIC != 1 {
 		t.Errorf("%+v", m)
 	}
-	if far := r.c.byPC[2]; far.launched != r.now || far.group.Free() != 10 {
-		t.Errorf("launched %v, %d circuits free", far.launched, far.group.Free())
+	if far := r.c.byPC[2]; far.startedAt != r.now || far.group.Free() != 10 {
+		t.Errorf("start time %v, %d circuits free", far.startedAt, far.group.Free())
 	}
 }
 
@@ -368,11 +368,11 @@
 	r.c.AssocDown(r.now, far2)
 	r.advance(sec)
 	r.farUp(far2, 2, "h2", true)
-	if far := r.c.byPC[2]; far.launched != 0 || far.mayHaveRestarted {
-		t.Errorf("treated as cold, launched %v", far.launched)
+	if far := r.c.byPC[2]; far.startedAt != 0 || far.mayHaveRestarted {
+		t.Errorf("treated as cold, start time %v", far.startedAt)
 	}
 	r.expectNone(clientAssoc)
-	if r.c.Open() != 1 {
+	if r.c.OpenCalls() != 1 {
 		t.Error("the established call was lost")
 	}
 }
@@ -384,8 +384,8 @@
 	r.advance(sec)
 	r.farUp(far2, 2, "h2b", false)
 	far := r.c.byPC[2]
-	if far.launched != r.now || r.c.byAddress["h2b"] != far || r.c.byAddress["h2"] != nil {
-		t.Errorf("launched %v, addresses %v", far.launched, r.c.byAddress)
+	if far.startedAt != r.now || r.c.byAddress["h2b"] != far || r.c.byAddress["h2"] != nil {
+		t.Errorf("start time %v, addresses %v", far.startedAt, r.c.byAddress)
 	}
 	r.offerCall(1, "2001")
 	r.expectOne(far2, isup.IAM)
@@ -447,7 +447,7 @@
 	r.receive(ownAssoc, 2, isup.Message{Type: isup.REL, CIC: 9, Cause: isup.CauseNormal})
 	r.expectOne(far3, isup.REL)
 	r.expectOne(ownAssoc, isup.RLC) // until then the far end may not seize the circuit again
-	if r.c.byPC[2].group.Free() != 10 || r.c.Open() != 0 {
+	if r.c.byPC[2].group.Free() != 10 || r.c.OpenCalls() != 0 {
 		t.Error("a call or a seized circuit is left")
 	}
 }
@@ -532,7 +532,7 @@
 		t.Error("a client with a full send queue is not closed")
 	}
 	r.c.AssocDown(r.now, clientAssoc)
-	if r.c.Open() != 0 {
+	if r.c.OpenCalls() != 0 {
 		t.Error("calls of the lost client are left")
 	}
 }
@@ -568,8 +568,8 @@
 		t.Errorf("%v", describe(m))
 	}
 	r.expectNone(clientAssoc)
-	if r.c.Open() != 0 {
-		t.Errorf("%d calls open", r.c.Open())
+	if r.c.OpenCalls() != 0 {
+		t.Errorf("%d calls open", r.c.OpenCalls())
 	}
 }
 
@@ -674,13 +674,13 @@
 	}
 	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
 	r.expectOne(clientAssoc, isup.CON)
-	if r.c.Waiting() != 0 || r.c.Open() != 1 {
-		t.Errorf("%d waiting, %d open", r.c.Waiting(), r.c.Open())
+	if r.c.Waiting() != 0 || r.c.OpenCalls() != 1 {
+		t.Errorf("%d waiting, %d open", r.c.Waiting(), r.c.OpenCalls())
 	}
 	r.c.ReleaseAll(r.now)
 	r.expectOne(clientAssoc, isup.REL)
 	r.expectOne(far2, isup.REL)
-	if r.c.Open() != 0 {
+	if r.c.OpenCalls() != 0 {
 		t.Error("a call is left after ReleaseAll")
 	}
 }
@@ -793,8 +793,8 @@
 			c.Flush(now)
 		}
 	}
-	if c.Open() != open {
-		b.Fatalf("%d calls open", c.Open())
+	if c.OpenCalls() != open {
+		b.Fatalf("%d calls open", c.OpenCalls())
 	}
 	bytesPerCall := (heapInUse() - heapBefore) / float64(open)
 	defer func() { b.ReportMetric(bytesPerCall, "B/open-call") }()
@@ -807,8 +807,8 @@
 		c.Tick(now)
 		c.Flush(now)
 	}
-	if c.Open() != open {
-		b.Fatalf("%d calls open", c.Open())
+	if c.OpenCalls() != open {
+		b.Fatalf("%d calls open", c.OpenCalls())
 	}
 }
 
@@ -868,8 +868,8 @@
 	r.offerCall(6, "2006")
 	r.expectOne(far2, isup.IAM)
 	r.c.AssocDown(r.now, clientAssoc)
-	if r.c.limits.Admit(r.c.limits.AddClient(r.now), r.now) != admission.Admitted || r.c.tenantClients[0].Open() != 0 {
-		t.Errorf("%d calls of the tenant open", r.c.tenantClients[0].Open())
+	if r.c.limits.Admit(r.c.limits.AddClient(r.now), r.now) != admission.Admitted || r.c.tenantClients[0].OpenCalls() != 0 {
+		t.Errorf("%d calls of the tenant open", r.c.tenantClients[0].OpenCalls())
 	}
 }
 
@@ -892,11 +892,11 @@
 	}
 	r.receive(third, 900, iam(1, "2001"))
 	r.expectOne(far2, isup.IAM)
-	if r.c.Open() != 1 {
-		t.Errorf("%d calls open", r.c.Open())
+	if r.c.OpenCalls() != 1 {
+		t.Errorf("%d calls open", r.c.OpenCalls())
 	}
 	r.c.AssocDown(r.now, first) // the loss of the first association is reported late
-	if r.c.Open() != 1 {
+	if r.c.OpenCalls() != 1 {
 		t.Error("the call on the new association was lost")
 	}
 }
--- a/controller/ringing_test.go
+++ b/controller/ringing_test.go
@@ -145,8 +145,8 @@
 	}
 	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic}) // crosses the REL
 	r.expectNone(clientAssoc)
-	if r.c.Open() != 0 || r.c.Ringing() != 0 || r.c.Waiting() != 0 {
-		t.Errorf("%d open, %d ringing, %d waiting", r.c.Open(), r.c.Ringing(), r.c.Waiting())
+	if r.c.OpenCalls() != 0 || r.c.Ringing() != 0 || r.c.Waiting() != 0 {
+		t.Errorf("%d open, %d ringing, %d waiting", r.c.OpenCalls(), r.c.Ringing(), r.c.Waiting())
 	}
 }
 
--- a/controller/servers_test.go
+++ b/controller/servers_test.go
@@ -45,8 +45,8 @@
 	r.receive(asp2, 900, isup.Message{Type: isup.REL, CIC: 1, Cause: isup.CauseNormal})
 	r.expectOne(asp2, isup.RLC)
 	r.expectOne(far2, isup.REL)
-	if r.c.Open() != 0 || r.records[len(r.records)-1].Outcome != Finished {
-		t.Errorf("%d open, %+v", r.c.Open(), r.records)
+	if r.c.OpenCalls() != 0 || r.records[len(r.records)-1].Outcome != Finished {
+		t.Errorf("%d open, %+v", r.c.OpenCalls(), r.records)
 	}
 }
 
@@ -70,8 +70,8 @@
 		t.Fatalf("%v", describe(m))
 	}
 	r.advance(5 * sec) // T(r) must not end the calls any more
-	if r.c.Open() != 1 {
-		t.Errorf("%d calls open", r.c.Open())
+	if r.c.OpenCalls() != 1 {
+		t.Errorf("%d calls open", r.c.OpenCalls())
 	}
 	r.expectNone(far2)
 }
@@ -89,18 +89,18 @@
 	r.assocDown(asp1)
 	r.assocDown(asp2)
 	r.advance(1999 * ms)
-	if r.c.Open() != 2 {
-		t.Fatalf("%d open within T(r)", r.c.Open())
+	if r.c.OpenCalls() != 2 {
+		t.Fatalf("%d open within T(r)", r.c.OpenCalls())
 	}
 	r.advance(2 * ms)
-	if m := r.take(far2); len(m) != 2 || m[0].Type != isup.REL || m[1].Type != isup.REL || r.c.Open() != 0 || r.c.Waiting() != 0 {
-		t.Errorf("%v, %d open", describe(m), r.c.Open())
+	if m := r.take(far2); len(m) != 2 || m[0].Type != isup.REL || m[1].Type != isup.REL || r.c.OpenCalls() != 0 || r.c.Waiting() != 0 {
+		t.Errorf("%v, %d open", describe(m), r.c.OpenCalls())
 	}
 	r.joinServer(203, m3ua.TrafficLoadshare)
 	r.expectNone(203)
 	r.receive(203, 900, iam(1, "2001"))
 	r.take(far2)
-	if r.c.Open() != 1 {
+	if r.c.OpenCalls() != 1 {
 		t.Error("the next call of the client is not accepted")
 	}
 }
@@ -120,8 +120,8 @@
 		r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
 	}
 	r.advance(10 * ms)
-	if r.c.Open() != 0 || r.c.Waiting() != 0 {
-		t.Errorf("%d open, %d waiting", r.c.Open(), r.c.Waiting())
+	if r.c.OpenCalls() != 0 || r.c.Waiting() != 0 {
+		t.Errorf("%d open, %d waiting", r.c.OpenCalls(), r.c.Waiting())
 	}
 	r.joinServer(asp2, m3ua.TrafficOverride)
 	r.expectNone(asp2)
@@ -181,7 +181,7 @@
 	r.expectOne(asp2, isup.CON)
 	r.assocDown(asp2)
 	r.advance(10 * time.Second)
-	if r.c.Open() != 1 {
-		t.Errorf("%d calls open", r.c.Open())
+	if r.c.OpenCalls() != 1 {
+		t.Errorf("%d calls open", r.c.OpenCalls())
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -224,7 +224,7 @@
 			drain, draining = nil, true
 			drainUntil = d.now() + d.cfg.DrainLimit
 			d.core.Drain()
-			d.log.Info().Int("open", d.core.Open()).Msg("draining")
+			d.log.Info().Int("open", d.core.OpenCalls()).Msg("draining")
 		case ev := <-d.events:
 			d.handle(ctx, ev)
 			for n := 1; n < maxEventsPerTurn; n++ {
@@ -243,7 +243,7 @@
 			d.core.Flush(d.now())
 		})
 		if draining {
-			open := d.core.Open()
+			open := d.core.OpenCalls()
 			if d.core.Waiting() == 0 && d.now() >= drainUntil && open > 0 {
 				d.core.ReleaseAll(d.now())
 				open = 0
--- a/daemon/hooks.go
+++ b/daemon/hooks.go
@@ -124,7 +124,7 @@
 
 // logBreakers logs the state changes of the hooks' circuit breakers and counts the hooks that failed.
 func (h *hookRunner) logBreakers(advice *hooks.Advice) {
-	for _, note := range advice.Notes {
+	for _, note := range advice.BreakerNotes {
 		h.d.log.Warn().Msg("hook " + note)
 	}
 	if len(advice.Failed) > 0 {
@@ -159,7 +159,7 @@
 		if h.d.onLoop(ctx, func() {
 			if set = h.registry.Live(); set.Has(script.Every) {
 				c := h.d.core.Counters
-				ev = script.EveryEvent(h.d.core.Waiting(), h.d.core.Open(), c.Offered, c.Established, c.Refused, c.TimedOut)
+				ev = script.EveryEvent(h.d.core.Waiting(), h.d.core.OpenCalls(), c.Offered, c.Established, c.Refused, c.TimedOut)
 			}
 		}) != nil || !set.Has(script.Every) {
 			continue
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -138,7 +138,7 @@
 func (g groupView) exchangeLabel() string { return exchangeLabel(g.Far) }
 
 func (d *Daemon) snapshot() snapshot {
-	s := snapshot{counters: d.core.Counters, open: d.core.Open(), waiting: d.core.Waiting(), ringing: d.core.Ringing(), views: d.core.Views()}
+	s := snapshot{counters: d.core.Counters, open: d.core.OpenCalls(), waiting: d.core.Waiting(), ringing: d.core.Ringing(), views: d.core.Views()}
 	for _, g := range d.core.Groups() {
 		s.groups = append(s.groups, groupView{g})
 	}
--- a/hooks/hooks_test.go
+++ b/hooks/hooks_test.go
@@ -72,7 +72,7 @@
 	runs := func() uint64 { return s.byKind[script.Arrival][0].stats.Runs }
 	var notes []string
 	for range 100 {
-		notes = append(notes, runHooks(s, script.Arrival, now).Notes...)
+		notes = append(notes, runHooks(s, script.Arrival, now).BreakerNotes...)
 	}
 	if runs() != maxConsecutiveFailures || len(notes) != 1 {
 		t.Fatalf("%d runs before the breaker opened, notes %v; want one note", runs(), notes)
@@ -91,7 +91,7 @@
 	ev := script.EveryEvent(0, 0, 0, 0, 0, 0)
 	r.RunDue(s, &ev, now, &a)
 	r.RunDue(s, &ev, now+time.Minute, &a)
-	if a := runHooks(s, script.Arrival, now+time.Minute); len(a.Notes) != 1 {
+	if a := runHooks(s, script.Arrival, now+time.Minute); len(a.BreakerNotes) != 1 {
 		t.Errorf("the breaker did not close: %+v", a)
 	}
 	if v := s.Views(now + time.Minute); v[1].State != "in use" && v[0].State != "in use" {
--- a/hooks/run.go
+++ b/hooks/run.go
@@ -20,8 +20,8 @@
 	Tags    []string
 	Logs    []script.LogField
 	// Failed lists the names of the hooks that failed, Notes the state changes of circuit breakers.
-	Failed []string
-	Notes  []string
+	Failed       []string
+	BreakerNotes []string
 }
 
 // Runner runs hooks. It is not safe for concurrent use; each worker has its own.
@@ -94,7 +94,7 @@
 		}
 	}
 	if changed {
-		a.Notes = append(a.Notes, fmt.Sprintf("%s is %s: %v", h.name, state, err))
+		a.BreakerNotes = append(a.BreakerNotes, fmt.Sprintf("%s is %s: %v", h.name, state, err))
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,14 +36,14 @@
 	Log      Log    `yaml:"log"`
 	Seed     uint64 `yaml:"seed"`
 
-	Guard          time.Duration `yaml:"guard"`
-	MaxAttempts    int           `yaml:"max_attempts"`
-	Repeat         time.Duration `yaml:"repeat"`
-	AnswerMargin   time.Duration `yaml:"answer_margin"`
-	CutMemory      time.Duration `yaml:"cut_memory"`
-	Hops           int           `yaml:"hops"`
-	DrainLimit     time.Duration `yaml:"drain_limit"`
-	OverQuotaWorth float64       `yaml:"over_quota_worth"`
+	Guard           time.Duration `yaml:"guard"`
+	MaxAttempts     int           `yaml:"max_attempts"`
+	RetransmitAfter time.Duration `yaml:"repeat"`
+	AnswerMargin    time.Duration `yaml:"answer_margin"`
+	CutMemory       time.Duration `yaml:"cut_memory"`
+	Hops            int           `yaml:"hops"`
+	DrainLimit      time.Duration `yaml:"drain_limit"`
+	OverQuotaWorth  float64       `yaml:"over_quota_worth"`
 
 	ColdStart   ColdStart   `yaml:"cold"`
 	Classes     []Class     `yaml:"classes"`
@@ -368,7 +368,7 @@
 	v.Must(c.Log.Format == "json" || c.Log.Format == "console", "log.format", "%q; json or console can be", c.Log.Format)
 	v.span("guard", c.Guard, 0, time.Minute)
 	v.Must(c.MaxAttempts >= 1 && c.MaxAttempts <= 16, "max_attempts", "%d; 1 to 16 can be", c.MaxAttempts)
-	v.span("repeat", c.Repeat, 0, time.Minute)
+	v.span("repeat", c.RetransmitAfter, 0, time.Minute)
 	v.span("answer_margin", c.AnswerMargin, 0, 10*time.Second)
 	v.span("cut_memory", c.CutMemory, 0, time.Hour)
 	v.Must(c.Hops >= 1 && c.Hops <= 31, "hops", "%d; 1 to 31 can be", c.Hops)
@@ -501,7 +501,7 @@
 		MaxCalls: c.Limits.Calls, Recovery: c.Association.Recovery, RecoveryOctets: c.Association.RecoveryQueue, ClientT1: c.Timers.T1, T7: c.Timers.T7, T9: c.Timers.T9,
 		Trunk: trunk.Timers{T1: c.Timers.T1, T5: c.Timers.T5, T16: c.Timers.T16, T28: c.Timers.T28, SignallingHold: c.Timers.SignallingHold},
 		Policy: policy.Config{Seed: c.Seed, Controllers: len(c.Exchanges), OverQuotaWorth: c.OverQuotaWorth, MaxAttempts: c.MaxAttempts,
-			Guard: c.Guard, Repeat: c.Repeat, WarmUp: c.ColdStart.WarmUp, ColdShare: c.ColdStart.Share, CrashMultiple: c.ColdStart.CrashMultiple,
+			Guard: c.Guard, RetransmitAfter: c.RetransmitAfter, WarmUp: c.ColdStart.WarmUp, ColdShare: c.ColdStart.Share, CrashMultiple: c.ColdStart.CrashMultiple,
 			CrashSpan: c.ColdStart.CrashSpan,
 			Index:     slices.IndexFunc(c.Exchanges, func(e Exchange) bool { return e.PointCode == c.Exchange })},
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -62,7 +62,7 @@
 			OverQuotaWorth:  num(v, 1, "over_share_worth"),
 			MaxAttempts:     int(num(v, 1, "limits", "max_attempts")),
 			Guard:           millis(num(v, 0, "family_info", "guard")),
-			Repeat:          millis(num(v, 0, "family_info", "repeat")),
+			RetransmitAfter: millis(num(v, 0, "family_info", "repeat")),
 			MarksRedials:    v.GetBool("callers", "marks_retry"),
 			WarmUp:          millis(num(v, 0, "obligations", "warm_up")),
 			ColdShare:       num(v, 1, "obligations", "cold_share"),
--- a/policy/api.go
+++ b/policy/api.go
@@ -18,9 +18,9 @@
 
 	MarksRedials bool // callers mark redials in Offered.Redial
 
-	MaxAttempts int           // attempts allowed for one call
-	Guard       time.Duration // no new attempt for this long after a time-out, reset or cancel
-	Repeat      time.Duration // a set-up that waits at a processor is retransmitted after this; 0: never
+	MaxAttempts     int           // attempts allowed for one call
+	Guard           time.Duration // no new attempt for this long after a time-out, reset or cancel
+	RetransmitAfter time.Duration // a set-up that waits at a processor is retransmitted after this; 0: never
 
 	WarmUp        time.Duration // an exchange is cold for this long after its start
 	ColdShare     float64       // least capacity of a cold exchange, as a share of its warm capacity
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -194,7 +194,7 @@
 	if len(cfg.Classes) == 0 {
 		return nil, errors.New("no call classes configured")
 	}
-	if min(cfg.Guard, cfg.Repeat, cfg.WarmUp, cfg.CrashSpan) < 0 ||
+	if min(cfg.Guard, cfg.RetransmitAfter, cfg.WarmUp, cfg.CrashSpan) < 0 ||
 		min(cfg.ColdShare, cfg.CrashMultiple, float64(cfg.MaxAttempts), float64(cfg.Controllers)) < 0 {
 		return nil, errors.New("a time, a share or a number in the configuration is negative")
 	}
@@ -212,8 +212,8 @@
 		c.quotaCredit[i], c.quotaTotal = quotaBurst, c.quotaTotal+t.Quota
 	}
 	c.fullLoadDelay = time.Duration(fullLoadDelayShare * float64(c.shortestAim))
-	if cfg.Repeat > 0 { // a set-up that waits longer is retransmitted, and that adds work
-		c.fullLoadDelay = min(c.fullLoadDelay, cfg.Repeat)
+	if cfg.RetransmitAfter > 0 { // a set-up that waits longer is retransmitted, and that adds work
+		c.fullLoadDelay = min(c.fullLoadDelay, cfg.RetransmitAfter)
 	}
 	c.probeCallInterval = max(minBackOff,
 		time.Duration(float64(cfg.Controllers-1)/probeCallRate*float64(time.Second)))
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -104,7 +104,7 @@
 func (d *Scenario) settings(p *plan, self int, addrs [][]string, margin time.Duration) (*config.Config, error) {
 	c := config.Default()
 	c.Exchange, c.Listen, c.Seed = p.exchanges[self].pc, "127.0.0.1:0", d.Seed+uint64(self)
-	c.Guard, c.Repeat, c.MaxAttempts, c.OverQuotaWorth = d.Rules.Guard+margin, d.Network.Switch.Repeat, 4, 0.1
+	c.Guard, c.RetransmitAfter, c.MaxAttempts, c.OverQuotaWorth = d.Rules.Guard+margin, d.Network.Switch.Repeat, 4, 0.1
 	c.ColdStart = config.ColdStart{WarmUp: d.Rules.ColdStart.WarmUp, Share: d.Rules.ColdStart.Share, CrashMultiple: d.Rules.ColdStart.Multiple, CrashSpan: d.Rules.ColdStart.Span}
 	c.Timers = config.Timers{T1: 4 * time.Second, T5: 20 * time.Second, T7: 20 * time.Second, T9: 90 * time.Second, T16: 4 * time.Second, T28: 2 * time.Second, SignallingHold: 8 * time.Second}
 	c.Association.Ack, c.Association.Beat, c.Association.BeatLimit = time.Second, time.Second, 3*time.Second
--- a/trunk/trunk.go
+++ b/trunk/trunk.go
@@ -298,8 +298,8 @@
 	return cic, true
 }
 
-// Unseize makes a circuit idle again whose IAM was never sent.
-func (g *Group) Unseize(cic uint16) { g.setState(cic, Idle, 0) }
+// CancelSeizure makes a circuit idle again whose IAM was never sent.
+func (g *Group) CancelSeizure(cic uint16) { g.setState(cic, Idle, 0) }
 
 // Answered records that the call on a circuit seized here is established.
 func (g *Group) Answered(cic uint16) { g.circuits[cic].answered = true }
@@ -676,9 +676,9 @@
 	}
 }
 
-// Remembered reports whether a circuit query response of the far switch shows a call that is established here. A switch
+// KnowsEstablishedCall reports whether a circuit query response of the far switch shows a call that is established here. A switch
 // that knows none of them has restarted. It must be called before FromFar handles the response.
-func (g *Group) Remembered(m *isup.Message) bool {
+func (g *Group) KnowsEstablishedCall(m *isup.Message) bool {
 	for i, s := range m.Circuits {
 		if cic := m.CIC + uint16(i); g.hasCircuit(cic) && g.circuits[cic].state == Outgoing && g.circuits[cic].answered &&
 			s&isup.CircuitStateMask == isup.CircuitIncoming {
