--- a/admission/admission.go
+++ b/admission/admission.go
@@ -60,7 +60,7 @@
 	b.filled = now
 }
 
-// Client is the account of one client.
+// Client is the state of one client in a Limiter.
 type Client struct {
 	own        bucket        // for Config.Client.Rate
 	demand     float64       // offered set-ups per second, exponentially decayed
--- a/controller/calls.go
+++ b/controller/calls.go
@@ -135,7 +135,7 @@
 		return nil, cause
 	case c.draining, len(c.calls) >= c.cfg.MaxCalls:
 		return nil, isup.CauseCongestion
-	case message.HasHops && message.Hops == 0: // the hop counter is used up: the call is looping (Q.764, 2.1.22)
+	case message.HasHops && message.Hops == 0: // the hop counter is used up: the call is looping (Q.764, 2.1.22); cause 25: exchange routing error
 		return nil, 25
 	}
 	var call *openCall
@@ -169,9 +169,9 @@
 	return call, 0
 }
 
-// rejectByAdmission checks a set-up against the limits of its client and tenant, before any other work is done for it. A
-// set-up beyond them is released at once with the client's congestion level (Q.763, 3.4); SCON notifies the client when
-// that level changes.
+// rejectByAdmission checks a set-up against the limits of its client and tenant, before any other work is done for it, and
+// reports whether it was rejected. A set-up beyond the limits is released at once with the client's congestion level
+// (Q.763, 3.4); SCON notifies the client when that level changes.
 func (c *Core) rejectByAdmission(circuit *clientCircuit) bool {
 	assoc := circuit.association
 	decision := c.limits.Admit(assoc.limits, c.now)
--- a/controller/causes.go
+++ b/controller/causes.go
@@ -6,7 +6,7 @@
 )
 
 // attemptResult translates the cause of a REL that ended a set-up into the policy engine's terms. With cause 42 the location
-// tells whose processor was full: that of the tandem (LocationTransit) or that of the destination beyond it
+// shows whose processor was full: that of the tandem (LocationTransit) or that of the destination beyond it
 // (docs/design/controller.md).
 func attemptResult(cause isup.Cause, location isup.Location, direct bool) (policy.Cause, policy.Reason) {
 	switch cause {
@@ -53,5 +53,5 @@
 	return isup.CauseCongestion
 }
 
-// isNormalClearing tells whether the cause is that of a normal hang-up; an established call with any other cause was cut.
+// isNormalClearing reports whether the cause is that of a normal hang-up; an established call with any other cause was cut.
 func isNormalClearing(cause isup.Cause) bool { return cause == isup.CauseNormal }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -154,7 +154,7 @@
 const (
 	Answered  Outcome = iota // answered: the call is established
 	Refused                  // refused by the policy engine or a hook, or not routable
-	Failed                   // given up by the policy engine
+	Failed                   // failed by the policy engine, after an attempt that may have been carried out
 	Abandoned                // released by the caller, or the caller's association lost, before an answer
 	Finished                 // established, then released normally
 	Cut                      // established, then lost to a fault
@@ -240,7 +240,7 @@
 	tags      []string
 }
 
-// hookWait tells which hooks a call waits for.
+// hookWait is the kind of hooks that a call waits for.
 type hookWait uint8
 
 const (
@@ -303,7 +303,7 @@
 	releaseDelayChanged bool
 }
 
-// timerKind tells what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
@@ -1176,7 +1176,7 @@
 	}
 }
 
-// takeCutCall tells whether a set-up repeats an established call that was cut, and forgets the cut call.
+// takeCutCall reports whether the caller of a set-up dials an established call again that was cut, and deletes the record of it.
 func (c *Core) takeCutCall(iamMessage *isup.Message) bool {
 	if !iamMessage.HasCalling || len(c.cutCalls) == 0 {
 		return false
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -486,7 +486,7 @@
 	}
 }
 
-// No set-up may be sent to an exchange once the list reports it as draining or gone.
+// No set-up may be sent to an exchange once the list reports it as draining or removed.
 func TestUnavailableExchangeGetsNoSetUps(t *testing.T) {
 	r := newRig(t, 10)
 	for _, k := range []m3ua.Kind{m3ua.DRST, m3ua.DUNA} {
--- a/controller/hooks.go
+++ b/controller/hooks.go
@@ -61,7 +61,7 @@
 	c.applyAdvice(call, &advice)
 }
 
-// Advise passes the hooks' result for a request. A result after the deadline is dropped.
+// Advise applies the hooks' result for a request. A result after the deadline is dropped.
 func (c *Core) Advise(now time.Duration, id uint64, seq uint32, advice *hooks.Advice) {
 	c.now = now
 	call := c.calls[id]
--- a/controller/ringing_test.go
+++ b/controller/ringing_test.go
@@ -43,7 +43,7 @@
 func TestRingingCallIsAnsweredLongAfterSetUpTime(t *testing.T) {
 	r := newRingingRig(t)
 	cic := r.ring(1, "2001")
-	if v := r.view(2); v.SlotsHeld != 0 || v.Pending != 0 || r.c.Ringing() != 1 || r.c.Waiting() != 1 {
+	if v := r.view(2); v.SlotsHeld != 0 || v.Outstanding != 0 || r.c.Ringing() != 1 || r.c.Waiting() != 1 {
 		t.Errorf("%+v, %d ringing, %d waiting", v, r.c.Ringing(), r.c.Waiting())
 	}
 	r.advance(15 * sec)
@@ -214,7 +214,7 @@
 		r.take(clientAssoc)
 		r.advance(10 * ms)
 	}
-	if v := r.view(2); r.c.Ringing() != 300 || v.SlotsHeld != 0 || v.Pending != 0 {
+	if v := r.view(2); r.c.Ringing() != 300 || v.SlotsHeld != 0 || v.Outstanding != 0 {
 		t.Fatalf("%d calls ring, %+v", r.c.Ringing(), v)
 	}
 	r.take(far2)
--- a/controller/view.go
+++ b/controller/view.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-// Ready tells whether the own switch is connected and every trunk group is in sync with its far end.
+// Ready reports whether the own switch is connected and every trunk group is in sync with its far end.
 func (c *Core) Ready() bool {
 	for _, far := range c.farExchanges {
 		if far.group != nil && !far.group.InSync() {
--- a/daemon/association.go
+++ b/daemon/association.go
@@ -108,7 +108,7 @@
 	a.conn.Close()
 	a.queue.Notify()
 	<-a.writerDone
-	// The controller must learn of the loss: wait for room in the event queue as long as the event loop runs.
+	// The controller must be notified of the loss: wait for room in the event queue as long as the event loop runs.
 	select {
 	case a.d.events <- event{kind: evDown, association: a}:
 	case <-ctx.Done():
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -203,7 +203,7 @@
 			if v.Address == "" {
 				state = "own"
 			}
-			text = append(text, fmt.Sprintf("%-6d %-22s %-18s window %5.1f, held %d, load %.2f, awaiting an answer %d", v.PointCode, v.Address, state, v.Window, v.SlotsHeld, v.Load, v.Pending))
+			text = append(text, fmt.Sprintf("%-6d %-22s %-18s window %5.1f, held %d, load %.2f, awaiting an answer %d", v.PointCode, v.Address, state, v.Window, v.SlotsHeld, v.Load, v.Outstanding))
 		}
 	case "associations":
 		slices.Sort(associations)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -31,7 +31,7 @@
 	// Dial and Listen default to TCP; tests pass an in-memory network.
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Listen func(addr string) (net.Listener, error)
-	Engine func(policy.Config) (controller.Engine, error) // replaces the routing engine for comparisons; nil: policy.New
+	Engine func(policy.Config) (controller.Engine, error) // replaces the policy engine for comparisons; nil: policy.New
 	// Capture, if set, is called with every frame of every association; it must not block.
 	Capture func(at time.Time, from, to net.Addr, frame []byte)
 }
@@ -74,7 +74,7 @@
 	evDown                         // an association was lost
 	evUnreachable                  // dialling a switch of an exchange failed
 	evFunc                         // a function to run in the event loop
-	evAdvice                       // the result of a hook request
+	evAdvice                       // the hooks' advice on a request
 )
 
 type event struct {
@@ -88,7 +88,7 @@
 	readAt      time.Duration // with evFrames: when the frames were read
 }
 
-// clockOffset is added to the time since the start, because the routing engine takes the time 0 as "long ago".
+// clockOffset is added to the time since the start, because the policy engine takes the time 0 as "long ago".
 const clockOffset = time.Hour
 
 func (d *Daemon) now() time.Duration { return clockOffset + time.Since(d.start) }
@@ -166,7 +166,7 @@
 	return d.metricsListener.Addr().String()
 }
 
-// Drain begins an orderly shutdown: new calls are refused, pending ones get their final answer, and established ones may go on
+// Drain begins an orderly shutdown: new calls are refused, those without a final answer get it, and established ones may go on
 // until the drain limit of the settings. Run returns when the drain is done.
 func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.drain) }) }
 
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -200,7 +200,7 @@
 	})
 }
 
-// panickingEngine is a routing engine that panics on calls to numbers ending in 666.
+// panickingEngine is a policy engine that panics on calls to numbers ending in 666.
 type panickingEngine struct{ controller.Engine }
 
 func (b panickingEngine) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -13,7 +13,7 @@
 	"github.com/umbergauge/umbergauge/policy"
 )
 
-// metrics are the daemon's Prometheus metrics. Totals and the routing engine's view of the exchanges are read from the
+// metrics are the daemon's Prometheus metrics. Totals and the policy engine's view of the exchanges are read from the
 // controller at each scrape.
 type metrics struct {
 	d              *Daemon
@@ -82,7 +82,7 @@
 		name, help string
 		v          uint64
 	}{
-		{"attempts_total", "Attempts requested by the routing engine.", totals.Attempts},
+		{"attempts_total", "Attempts requested by the policy engine.", totals.Attempts},
 		{"attempts_timed_out_total", "Attempts that got no answer within the time-out.", totals.TimedOut},
 		{"attempts_no_contact_total", "Attempts that had no association to their exchange.", totals.NoContact},
 		{"attempts_not_sent_total", "Attempts whose IAM was not sent.", totals.NotSent},
@@ -112,7 +112,7 @@
 	}
 	for _, v := range snap.views {
 		emit(prometheus.GaugeValue, "window", "Window: set-ups that may be outstanding at the exchange.", v.Window, exchangeLabel(uint32(v.PointCode)))
-		emit(prometheus.GaugeValue, "load", "Load of the exchange as the routing engine estimates it, 0 to 1.", v.Load, exchangeLabel(uint32(v.PointCode)))
+		emit(prometheus.GaugeValue, "load", "Load of the exchange as the policy engine estimates it, 0 to 1.", v.Load, exchangeLabel(uint32(v.PointCode)))
 	}
 }
 
--- a/hooks/run.go
+++ b/hooks/run.go
@@ -19,7 +19,7 @@
 	TreatAs int   // cause that package policy uses instead of that of the refused attempt; 0: none
 	Tags    []string
 	Logs    []script.LogField
-	// Failed lists the names of the hooks that failed, Notes the state changes of circuit breakers.
+	// Failed lists the names of the hooks that failed, BreakerNotes the state changes of circuit breakers.
 	Failed       []string
 	BreakerNotes []string
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -19,7 +19,7 @@
 	MarksRedials bool // callers mark redials in Offered.Redial
 
 	MaxAttempts     int           // attempts allowed for one call
-	Guard           time.Duration // no new attempt for this long after a time-out, reset or cancel
+	Guard           time.Duration // no new attempt for this long after a time-out, reset or cancellation
 	RetransmitAfter time.Duration // a set-up that waits at a processor is retransmitted after this; 0: never
 
 	WarmUp        time.Duration // an exchange is cold for this long after its start
@@ -83,7 +83,7 @@
 	TimedOut               // no answer in time
 	NoContact              // the exchange could not be reached
 	Reset                  // the set-up or the established call was cut
-	Cancelled              // the controller withdrew the set-up
+	Cancelled              // the controller cancelled the set-up
 	NotSent                // not sent: no circuit, own processor down or call over
 )
 
@@ -118,8 +118,8 @@
 		Tenant      int
 		Number      string // the dialled number
 		Destination int    // point code of the destination exchange (pools: first choice)
-		// AdvisedTandem is the tandem that a centre advises as having most room; -1: none. Of a call in
-		// transit it is the exchange that the call comes from.
+		// AdvisedTandem is the tandem that a central point advises as having the most free capacity;
+		// -1: none. For a call in transit it is the exchange that the call comes from.
 		AdvisedTandem int
 		Circuits      float64
 		Due           time.Duration
@@ -185,7 +185,7 @@
 
 type (
 	// SetUp starts an attempt: directly if Exchange is the destination, otherwise over it as tandem. TimeOut
-	// runs until Alerting or Established.
+	// is the longest time until Alerting or Established.
 	SetUp struct {
 		Call     uint64
 		Exchange string
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -2,9 +2,9 @@
 // It sees events and returns actions, see api.go. This file holds every decision and every tuned value.
 //
 // Overload control keeps a window per far processor: the number of set-ups that may await an answer there at
-// the same time. Each step resizes the window by a fuzzy rule table, Table I. Its inputs are the load of that
-// processor and the share of the window's slots that were held. The own processor has a window of the same
-// kind. Calls in transit take no slot.
+// the same time. A step every stepInterval resizes the window by a fuzzy rule table, Table I (see tableI).
+// Its inputs are the load of that processor and the share of the window's slots that were held. The own
+// processor has a window of the same kind. Calls in transit take no slot.
 package policy
 
 import (
@@ -26,7 +26,7 @@
 	minSlots           = 1                      // a window always admits one set-up
 	maxHold            = time.Second            // longest wait of a call for a slot or a circuit
 	evidenceDecay      = 0.5                    // share of the load evidence that is kept from step to step
-	fullLoadDelayShare = 0.5                    // of the shortest aim: an answer delay that is full load
+	fullLoadDelayShare = 0.5                    // full load: answer delay of this share of the shortest aim
 	reportMaxAge       = 2 * time.Second        // older load reports are ignored
 	stallThreshold     = 150 * time.Millisecond // a step this late shows that the controller stalled
 
@@ -41,11 +41,11 @@
 	// Routes and circuits.
 
 	prioritySlots    = 1               // slots beyond the window for priority calls, see hasPriority
-	quotaBurst       = 15.0            // calls; limit of the quota that a tenant can save up
+	quotaBurst       = 15.0            // calls; the most unused quota that a tenant can save up
 	maxTandems       = 2               // tandems tried per call
 	reservedCircuits = 2               // circuits per group reserved for direct calls, see circuitReserve
 	reservedShare    = 0.05            // limit of the reserve as a share of the group, rounded up
-	crankbackBackOff = 2 * time.Second // after a crankback the tandem is skipped for that destination
+	crankbackBackOff = 2 * time.Second // how long a tandem is skipped for a destination after a crankback
 
 	// Health of far processors.
 
@@ -53,9 +53,9 @@
 	overdueShare        = 0.75                   // an answer is overdue after this share of the shortest aim
 	probeCallRate       = 16.0                   // probe calls per second to an exchange, of all controllers
 	answerMargin        = 15 * time.Millisecond  // a hold ends at least this long before the due time
-	minBackOff          = time.Second            // for full exchanges, busy numbers and between probe calls
-	fullAfterRejections = 3                      // rejections in a row by a lightly loaded exchange
-	minAttemptTimeOut   = 300 * time.Millisecond // shorter only if the call itself is due earlier
+	minBackOff          = time.Second            // of full exchanges and busy numbers; least probe interval
+	fullAfterRejections = 3                      // rejections in a row that show a lightly loaded one is full
+	minAttemptTimeOut   = 300 * time.Millisecond // shorter only if the call is due earlier
 	lossDecay           = 0.9                    // share of the counted losses kept from step to step
 	lossThreshold       = 1.5                    // losses from which on lost set-ups are retried
 	// baseDelayGrowthDivisor lets a base delay grow by 1/100 per step until a quicker answer lowers it, so
@@ -94,7 +94,7 @@
 	stepLoad                float64       // load input of the last step
 	loadReportedAt          time.Duration // time of the report behind load; 0: none
 	wait                    time.Duration // queueing delay by the last report; 0: not reported
-	baseDelay               time.Duration // shortest answer delay: distance, no load; 0: not known
+	baseDelay               time.Duration // shortest answer delay, due to distance and not load; 0: not known
 	freeCircuits, groupSize float64       // circuits of the trunk group; a size below zero is unknown
 
 	outstanding   []*callState // attempts that its processor has yet to answer, by time of sending
@@ -146,7 +146,7 @@
 	alerted           bool           // the target's processor has done its part of the attempt
 	sentAt            time.Duration
 	maybeExecuted     bool // an earlier attempt may have been carried out
-	countedUnanswered bool // the attempt is not to be counted as unanswered (again)
+	countedUnanswered bool // the attempt has been counted as unanswered, or must not be
 	queued            bool // it is in the queue of its destination
 	late              bool // its aim cannot be met
 	lowPriority       bool // it is late, or its tenant is beyond its quota
@@ -164,7 +164,7 @@
 type Engine struct {
 	cfg                Config
 	now                time.Duration
-	out                []Action // actions for the event in hand
+	out                []Action // actions for the event being handled
 	own                *exchangeState
 	exchanges          map[int]*exchangeState
 	byPointCode        []*exchangeState // the far exchanges, sorted
@@ -258,7 +258,7 @@
 	case Timer:
 		if ev.ID == stepTimer {
 			c.scheduleStep()
-			if c.now > c.resumedAt { // slots held during a stall are no far load: no step then
+			if c.now > c.resumedAt { // slots held during a stall show no far load: no step right after it
 				c.resizeWindows()
 			}
 		} else if call := c.calls[ev.ID]; call != nil && call.phase == phaseHeld {
@@ -366,7 +366,7 @@
 // withinColdBudget reports whether one more set-up to an exchange keeps within this controller's share of
 // the cold budget. A cold processor fails when all controllers together send it more than CrashMultiple
 // times its cold capacity within CrashSpan. The warm capacity is assumed to be capacityMultiple times the
-// usual rate, and each controller takes the share of the budget that it has of the usual rate.
+// usual rate, and a controller's share of the budget is its share of the usual rate.
 //
 // Among many controllers that share is less than one set-up per span. It is then a token bucket of one. The
 // first token comes at an offset that depends on the controller's index, so that not all controllers send at
@@ -376,9 +376,9 @@
 	if !c.isCold(exchange) {
 		return true
 	}
-	// Without a usual rate all controllers together may send the initial window per span, and none more than
-	// one set-up. Where few set-ups go to each exchange, the usual rate of one is mostly chance, so the mean
-	// rate of all exchanges counts too.
+	// Without a usual rate a controller's budget is crashShare times its share of initialWindowTotal, and at
+	// most one set-up. Where few set-ups go to each exchange, the usual rate of one is mostly chance, so the
+	// mean rate of all exchanges counts too.
 	crashShare := c.cfg.CrashMultiple * c.cfg.ColdShare
 	budget := min(1, crashShare*initialWindowTotal/float64(max(1, c.cfg.Controllers-1)))
 	if observed := min(exchange.rateSteps, 2/usualRateWeight) * stepInterval.Seconds(); c.usualRate > 0 {
@@ -432,8 +432,8 @@
 }
 
 // overQuota counts a first try of a tenant and reports whether it is beyond the tenant's quota. A
-// controller does not see what tenants send to other controllers, so each tenant may have that share of the
-// calls offered here that its quota has of all quotas.
+// controller does not see what tenants send to other controllers, so the quota here is a share of the calls
+// offered here: the share that the tenant's quota has in the sum of all quotas.
 func (c *Engine) overQuota(tenant int) bool {
 	if len(c.cfg.Tenants) < 2 || tenant < 0 || tenant >= len(c.cfg.Tenants) {
 		return false
@@ -787,7 +787,7 @@
 		return
 	}
 	exchange := call.target
-	c.noteCarried(call, ev.Exchange, ev.Delay)
+	c.noteProcessorDone(call, ev.Exchange, ev.Delay)
 	exchange.outstanding = slices.DeleteFunc(exchange.outstanding,
 		func(other *callState) bool { return other == call })
 	call.alerted = true
@@ -810,9 +810,9 @@
 	return delay - exchange.baseDelay
 }
 
-// noteCarried records what the end of the processor's part of an attempt, reported by the sender after the
-// given delay, shows about the exchange that it went to.
-func (c *Engine) noteCarried(call *callState, sender string, delay time.Duration) {
+// noteProcessorDone records what the end of the processor's part of an attempt, reported by the sender after
+// the given delay, shows about the exchange that it went to.
+func (c *Engine) noteProcessorDone(call *callState, sender string, delay time.Duration) {
 	exchange, excess := call.target, delay
 	sameMachine := exchange.address == sender
 	if sameMachine {
@@ -840,7 +840,7 @@
 		return
 	}
 	if !call.alerted {
-		c.noteCarried(call, ev.Exchange, ev.Delay)
+		c.noteProcessorDone(call, ev.Exchange, ev.Delay)
 	}
 	// An answer over a tandem is a response of the destination. Alerting is none: a tandem may send it early.
 	if dest := c.exchanges[call.Destination]; dest != nil && dest != call.target {
@@ -865,12 +865,12 @@
 		return
 	}
 	direct := exchange != nil && exchange.pointCode == call.Destination
-	pending := call.target != nil // otherwise the call was established
-	if pending && ev.Reason == ProcessorFull && ev.Cause != NotSent {
+	outstanding := call.target != nil // an attempt; otherwise the call was established
+	if outstanding && ev.Reason == ProcessorFull && ev.Cause != NotSent {
 		c.noteFull(call.target, ev.Wait)
 	}
 	c.closeAttempt(call)
-	if pending && exchange != nil && exchange.address == ev.Exchange { // not a machine that was replaced
+	if outstanding && exchange != nil && exchange.address == ev.Exchange { // not a machine that was replaced
 		c.noteOutcome(call, exchange, direct, ev)
 	}
 	if ev.Final || call.phase != phaseSettingUp {
@@ -917,9 +917,9 @@
 		inconclusive := ev.Cause == TimedOut &&
 			(call.alerted || c.now-call.sentAt < answerTimeMultiple*c.usualAnswerTime)
 		if direct && !call.countedUnanswered && !inconclusive {
-			c.unanswered(exchange, call.sentAt)
+			c.noteUnanswered(exchange, call.sentAt)
 		} else if !direct && !inconclusive {
-			// The tandem or the destination is at fault: this tandem is not used for it for a while.
+			// The tandem or the destination is at fault: the tandem is skipped for it as after a crankback.
 			c.noteCrankback(exchange, call.Destination)
 		}
 	}
@@ -967,8 +967,8 @@
 	return number
 }
 
-// unanswered records that a set-up, sent to an exchange at the given time, has had no answer.
-func (c *Engine) unanswered(exchange *exchangeState, sentAt time.Duration) {
+// noteUnanswered records that a set-up, sent to an exchange at the given time, has had no answer.
+func (c *Engine) noteUnanswered(exchange *exchangeState, sentAt time.Duration) {
 	if exchange.lastAnswerAt >= sentAt {
 		if c.lightlyLoaded(exchange) { // others were answered, and quickly: this one was lost
 			exchange.losses++
@@ -1027,7 +1027,7 @@
 			if exchange.pointCode == call.Destination && !call.countedUnanswered &&
 				age > overdueShare*c.shortestAim.Seconds() {
 				call.countedUnanswered = true
-				c.unanswered(exchange, call.sentAt)
+				c.noteUnanswered(exchange, call.sentAt)
 			}
 		}
 		for len(exchange.recentSends) > 0 && exchange.recentSends[0] <= c.now-c.cfg.CrashSpan {
@@ -1085,7 +1085,7 @@
 	exchange.loadSamples, exchange.loadSum =
 		exchange.loadSamples*evidenceDecay, exchange.loadSum*evidenceDecay
 	exchange.stepLoad = load
-	if exchange.unresponsive { // missing answers show no load: the window stays for the recovery
+	if exchange.unresponsive { // missing answers show no load: the window is kept until it responds again
 		return
 	}
 	slotCount := float64(windowSlots(exchange))
--- a/policy/view.go
+++ b/policy/view.go
@@ -14,7 +14,7 @@
 	Load         float64       // load input of the last step
 	Unresponsive bool          // it does not answer and gets probe calls only
 	Free, Size   float64       // circuits of the trunk group, as the Engine counts them
-	Pending      int           // set-ups awaiting an answer
+	Outstanding  int           // set-ups awaiting an answer
 }
 
 // View appends the state of each exchange to out, the own one first, then by point code.
@@ -24,7 +24,7 @@
 			Health: exchange.health, StartedAt: exchange.startedAt, Cold: c.isCold(exchange),
 			Window: exchange.window, SlotsHeld: exchange.slotsHeld,
 			Load: exchange.stepLoad, Unresponsive: exchange.unresponsive,
-			Free: exchange.freeCircuits, Size: exchange.groupSize, Pending: len(exchange.outstanding)}
+			Free: exchange.freeCircuits, Size: exchange.groupSize, Outstanding: len(exchange.outstanding)}
 	}
 	out = append(out, viewOf(c.own))
 	for _, exchange := range c.byPointCode {
--- a/trunk/trunk.go
+++ b/trunk/trunk.go
@@ -298,7 +298,7 @@
 	return cic, true
 }
 
-// CancelSeizure makes a circuit idle again whose IAM was never sent.
+// CancelSeizure frees a circuit that was seized for an IAM which was not sent.
 func (g *Group) CancelSeizure(cic uint16) { g.setState(cic, Idle, 0) }
 
 // Answered records that the call on a circuit seized here is established.
@@ -627,8 +627,8 @@
 func (g *Group) queryResponse(m *isup.Message, fromFar bool) {
 	if fromFar {
 		// Each query takes one response: a second one, to a retransmitted query, may be older than messages sent since.
-		n, pending := g.queries[m.CIC]
-		if !pending || len(m.Circuits) < n {
+		n, outstanding := g.queries[m.CIC]
+		if !outstanding || len(m.Circuits) < n {
 			return
 		}
 		delete(g.queries, m.CIC)
@@ -676,8 +676,8 @@
 	}
 }
 
-// KnowsEstablishedCall reports whether a circuit query response of the far switch shows a call that is established here. A switch
-// that knows none of them has restarted. It must be called before FromFar handles the response.
+// KnowsEstablishedCall reports whether a circuit query response of the far switch shows a call that is established here. A
+// switch that knows none of these calls has restarted. It must be called before FromFar handles the response.
 func (g *Group) KnowsEstablishedCall(m *isup.Message) bool {
 	for i, s := range m.Circuits {
 		if cic := m.CIC + uint16(i); g.hasCircuit(cic) && g.circuits[cic].state == Outgoing && g.circuits[cic].answered &&
@@ -697,7 +697,7 @@
 		switch id.Kind {
 		case timerQuery:
 			for first := 1; first < len(g.circuits) && len(g.queries) > 0; first += isup.MaxRange {
-				if n, pending := g.queries[uint16(first)]; pending {
+				if n, outstanding := g.queries[uint16(first)]; outstanding {
 					g.sendQuery(uint16(first), n)
 				}
 			}
