--- a/cmd/umbergauge/day.go
+++ b/cmd/umbergauge/day.go
@@ -19,8 +19,8 @@
 	"github.com/umbergauge/umbergauge/scenario/baseline"
 )
 
-// A whole fleet on one machine has scheduling delays: checkSlack is what the checker allows for, guardMargin what the
-// controllers wait in addition to the guard of the rule.
+// A whole fleet on one machine has scheduling delays: the checker tolerates checkSlack, and the controllers wait guardMargin
+// longer than the guard that the rule demands.
 const (
 	checkSlack  = 75 * time.Millisecond
 	guardMargin = 50 * time.Millisecond
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -323,7 +323,7 @@
 	farExchange   *farExchange
 	trunkTimer    trunk.TimerID
 	clientCircuit *clientCircuit
-	as            *appServer
+	appServer     *appServer
 }
 
 // numberPair is the calling and called number of a call.
@@ -546,8 +546,8 @@
 		case timerHooks:
 			c.hooksTimedOut(event.id, event.seq)
 		case timerRecovery:
-			if event.as.as.Expire(c.now) {
-				c.closeServer(event.as)
+			if event.appServer.as.Expire(c.now) {
+				c.closeServer(event.appServer)
 			}
 		}
 	})
--- a/controller/servers.go
+++ b/controller/servers.go
@@ -50,7 +50,7 @@
 	if server.as.State() == m3ua.ASPending {
 		c.Counters.Pending++
 		c.wheel.Stop(server.timer)
-		server.timer = c.wheel.Set(server.as.Until(), timerEvent{kind: timerRecovery, as: server})
+		server.timer = c.wheel.Set(server.as.Until(), timerEvent{kind: timerRecovery, appServer: server})
 	}
 	for unsent := c.port.Unsent(assoc.id); len(unsent) >= m3ua.HeaderLen; {
 		length, err := m3ua.Length(unsent)
@@ -106,7 +106,7 @@
 			if server.as.State() == m3ua.ASPending {
 				c.wheel.Stop(server.timer)
 				server.as.GiveUp(c.now)
-				server.timer = c.wheel.Set(c.now, timerEvent{kind: timerRecovery, as: server})
+				server.timer = c.wheel.Set(c.now, timerEvent{kind: timerRecovery, appServer: server})
 			}
 			return 0
 		}
--- a/policy/api.go
+++ b/policy/api.go
@@ -72,7 +72,7 @@
 	Reduction   float64 // share of new set-ups that it asks each controller not to send
 }
 
-// Cause is how an attempt ended.
+// Cause is how an attempt or an established call ended.
 type Cause uint8
 
 // The causes. NotSetUp, NoContact and NotSent prove that the set-up was never carried out.
