--- a/controller/controller.go
+++ b/controller/controller.go
@@ -154,7 +154,7 @@
 const (
 	Answered  Outcome = iota // answered: the call is established
 	Refused                  // refused by the policy engine or a hook, or not routable
-	Failed                   // given up by the policy engine
+	Failed                   // failed by the policy engine, after an attempt that may have been carried out
 	Abandoned                // released by the caller, or the caller's association lost, before an answer
 	Finished                 // established, then released normally
 	Cut                      // established, then lost to a fault
@@ -240,7 +240,7 @@
 	tags      []string
 }
 
-// hookWait tells which hooks a call waits for.
+// hookWait is the kind of hooks that a call waits for.
 type hookWait uint8
 
 const (
@@ -289,9 +289,9 @@
 	group       *trunk.Group // nil: no group
 	dirty       bool         // its circuits have changed since the policy engine was last notified
 	health      policy.Health
-	// launched is the start time reported to the policy engine. mayHaveRestarted: signalling was lost since then, so the
+	// startedAt is the start time reported to the policy engine. mayHaveRestarted: signalling was lost since then, so the
 	// switch may have restarted.
-	launched         time.Duration
+	startedAt        time.Duration
 	mayHaveRestarted bool
 	knowsCalls       bool // since signalling came up it has reported an established call of ours
 	reached          bool // an association to it has been up before
@@ -303,7 +303,7 @@
 	releaseDelayChanged bool
 }
 
-// timerKind tells what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
@@ -323,7 +323,7 @@
 	farExchange   *farExchange
 	trunkTimer    trunk.TimerID
 	clientCircuit *clientCircuit
-	as            *appServer
+	appServer     *appServer
 }
 
 // numberPair is the calling and called number of a call.
@@ -494,7 +494,7 @@
 	}
 	var entries []policy.Entry
 	for _, far := range c.farExchanges[known:] {
-		far.launched, far.mayHaveRestarted = now, true // its start time is unknown, so it is treated as cold
+		far.startedAt, far.mayHaveRestarted = now, true // its start time is unknown, so it is treated as cold
 		entries = append(entries, far.entry())
 	}
 	c.listChanged(entries...)
@@ -513,7 +513,7 @@
 }
 
 func (far *farExchange) entry() policy.Entry {
-	return policy.Entry{Address: far.Address, PointCode: int(far.PointCode), Health: far.health, StartedAt: far.launched}
+	return policy.Entry{Address: far.Address, PointCode: int(far.PointCode), Health: far.health, StartedAt: far.startedAt}
 }
 
 // Next returns the time at which Tick is due; false: no timer is set.
@@ -546,8 +546,8 @@
 		case timerHooks:
 			c.hooksTimedOut(event.id, event.seq)
 		case timerRecovery:
-			if event.as.as.Expire(c.now) {
-				c.closeServer(event.as)
+			if event.appServer.as.Expire(c.now) {
+				c.closeServer(event.appServer)
 			}
 		}
 	})
@@ -732,7 +732,7 @@
 	far.Address = address
 	c.byAddress[address] = far
 	if far.reached || far.mayHaveRestarted {
-		far.launched, far.mayHaveRestarted = c.now, false
+		far.startedAt, far.mayHaveRestarted = c.now, false
 	}
 	if far.health == policy.Ready {
 		c.listChanged(far.entry())
@@ -1062,7 +1062,7 @@
 	outgoing.HasHops, outgoing.Hops = true, call.iam.Hops-1
 	outgoing.HasPropagationDelay, outgoing.PropagationDelay = true, uint16(min(call.earlierDelay+c.now-call.arrivedAt, math.MaxUint16*time.Millisecond)/time.Millisecond)
 	if !c.sendToFar(far, &outgoing) {
-		far.group.Unseize(cic)
+		far.group.CancelSeizure(cic)
 		endUnsent(policy.NotSent, policy.NoReason)
 		return
 	}
@@ -1176,7 +1176,7 @@
 	}
 }
 
-// takeCutCall tells whether a set-up repeats an established call that was cut, and forgets the cut call.
+// takeCutCall reports whether the caller of a set-up dials an established call again that was cut, and deletes the record of it.
 func (c *Core) takeCutCall(iamMessage *isup.Message) bool {
 	if !iamMessage.HasCalling || len(c.cutCalls) == 0 {
 		return false
@@ -1196,8 +1196,8 @@
 // Ringing returns the number of calls that ring.
 func (c *Core) Ringing() int { return c.ringing }
 
-// Open returns the number of calls in the table.
-func (c *Core) Open() int { return len(c.calls) }
+// OpenCalls returns the number of calls in the table.
+func (c *Core) OpenCalls() int { return len(c.calls) }
 
 // ReleaseAll releases every established call, before the daemon exits.
 func (c *Core) ReleaseAll(now time.Duration) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,14 +36,14 @@
 	Log      Log    `yaml:"log"`
 	Seed     uint64 `yaml:"seed"`
 
-	Guard          time.Duration `yaml:"guard"`            // see policy.Config
-	MaxAttempts    int           `yaml:"max_attempts"`     // attempts allowed for one call
-	Repeat         time.Duration `yaml:"repeat"`           // see policy.Config
-	AnswerMargin   time.Duration `yaml:"answer_margin"`    // see controller.Config
-	CutMemory      time.Duration `yaml:"cut_memory"`       // see controller.Config
-	Hops           int           `yaml:"hops"`             // hop counter of a call that arrives without one
-	DrainLimit     time.Duration `yaml:"drain_limit"`      // longest time for a drain
-	OverQuotaWorth float64       `yaml:"over_quota_worth"` // worth of a call beyond its tenant's quota, as a share of its worth
+	Guard           time.Duration `yaml:"guard"`            // see policy.Config
+	MaxAttempts     int           `yaml:"max_attempts"`     // attempts allowed for one call
+	RetransmitAfter time.Duration `yaml:"repeat"`           // see policy.Config
+	AnswerMargin    time.Duration `yaml:"answer_margin"`    // see controller.Config
+	CutMemory       time.Duration `yaml:"cut_memory"`       // see controller.Config
+	Hops            int           `yaml:"hops"`             // hop counter of a call that arrives without one
+	DrainLimit      time.Duration `yaml:"drain_limit"`      // longest time for a drain
+	OverQuotaWorth  float64       `yaml:"over_quota_worth"` // worth of a call beyond its tenant's quota, as a share of its worth
 
 	ColdStart   ColdStart   `yaml:"cold"`
 	Classes     []Class     `yaml:"classes"`
@@ -369,7 +369,7 @@
 	v.Must(c.Log.Format == "json" || c.Log.Format == "console", "log.format", "%q is not json or console", c.Log.Format)
 	v.durationRange("guard", c.Guard, 0, time.Minute)
 	v.Must(c.MaxAttempts >= 1 && c.MaxAttempts <= 16, "max_attempts", "%d is not in the range of 1 to 16", c.MaxAttempts)
-	v.durationRange("repeat", c.Repeat, 0, time.Minute)
+	v.durationRange("repeat", c.RetransmitAfter, 0, time.Minute)
 	v.durationRange("answer_margin", c.AnswerMargin, 0, 10*time.Second)
 	v.durationRange("cut_memory", c.CutMemory, 0, time.Hour)
 	v.Must(c.Hops >= 1 && c.Hops <= 31, "hops", "%d is not in the range of 1 to 31", c.Hops)
@@ -502,7 +502,7 @@
 		MaxCalls: c.Limits.Calls, Recovery: c.Association.Recovery, RecoveryOctets: c.Association.RecoveryQueue, ClientT1: c.Timers.T1, T7: c.Timers.T7, T9: c.Timers.T9,
 		Trunk: trunk.Timers{T1: c.Timers.T1, T5: c.Timers.T5, T16: c.Timers.T16, T28: c.Timers.T28, SignallingHold: c.Timers.SignallingHold},
 		Policy: policy.Config{Seed: c.Seed, Controllers: len(c.Exchanges), OverQuotaWorth: c.OverQuotaWorth, MaxAttempts: c.MaxAttempts,
-			Guard: c.Guard, Repeat: c.Repeat, WarmUp: c.ColdStart.WarmUp, ColdShare: c.ColdStart.Share, CrashMultiple: c.ColdStart.CrashMultiple,
+			Guard: c.Guard, RetransmitAfter: c.RetransmitAfter, WarmUp: c.ColdStart.WarmUp, ColdShare: c.ColdStart.Share, CrashMultiple: c.ColdStart.CrashMultiple,
 			CrashSpan: c.ColdStart.CrashSpan,
 			Index:     slices.IndexFunc(c.Exchanges, func(e Exchange) bool { return e.PointCode == c.Exchange })},
 	}
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -105,7 +105,7 @@
 func (sc *Scenario) settings(p *plan, self int, addrs [][]string, margin time.Duration) (*config.Config, error) {
 	cfg := config.Default()
 	cfg.Exchange, cfg.Listen, cfg.Seed = p.exchanges[self].pointCode, "127.0.0.1:0", sc.Seed+uint64(self)
-	cfg.Guard, cfg.Repeat, cfg.MaxAttempts, cfg.OverQuotaWorth = sc.Rules.Guard+margin, sc.Network.Switch.Repeat, 4, 0.1
+	cfg.Guard, cfg.RetransmitAfter, cfg.MaxAttempts, cfg.OverQuotaWorth = sc.Rules.Guard+margin, sc.Network.Switch.Repeat, 4, 0.1
 	cfg.ColdStart = config.ColdStart{WarmUp: sc.Rules.ColdStart.WarmUp, Share: sc.Rules.ColdStart.Share, CrashMultiple: sc.Rules.ColdStart.Multiple, CrashSpan: sc.Rules.ColdStart.Span}
 	cfg.Timers = config.Timers{T1: 4 * time.Second, T5: 20 * time.Second, T7: 20 * time.Second, T9: 90 * time.Second, T16: 4 * time.Second, T28: 2 * time.Second, SignallingHold: 8 * time.Second}
 	cfg.Association.Ack, cfg.Association.Beat, cfg.Association.BeatLimit = time.Second, time.Second, 3*time.Second
