--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -62,7 +62,7 @@
 			OverQuotaWorth:  number(object, 1, "over_share_worth"),
 			MaxAttempts:     int(number(object, 1, "limits", "max_attempts")),
 			Guard:           durationOf(number(object, 0, "family_info", "guard")),
-			RetransmitAfter:          durationOf(number(object, 0, "family_info", "repeat")),
+			RetransmitAfter: durationOf(number(object, 0, "family_info", "repeat")),
 			MarksRedials:    object.GetBool("callers", "marks_retry"),
 			WarmUp:          durationOf(number(object, 0, "obligations", "warm_up")),
 			ColdShare:       number(object, 1, "obligations", "cold_share"),
