--- a/admission/admission.go
+++ b/admission/admission.go
@@ -3,7 +3,8 @@
 // noticeable work. The package does no I/O and reads no clock.
 //
 // The limits are set by operators. How many calls the controller can serve is estimated by package policy, which sees only
-// admitted calls. Admission makes sure that a client that floods the controller is itself refused, and others hardly.
+// admitted calls. Admission makes sure that a client that floods the controller is itself refused, and that other
+// clients hardly ever are.
 package admission
 
 import (
@@ -106,7 +107,7 @@
 const (
 	demandTimeConstant = 4 * time.Second        // of the exponential decay of demand and refusals
 	shareInterval      = 100 * time.Millisecond // between updates of the fair share
-	fairBurstSpan      = time.Second            // a client may save up its fair share of this span
+	fairBurstSpan      = time.Second            // a client may accumulate its fair share of this span
 	// minFairBurst is the least burst, in calls, within a client's fair share. Arrivals are random: two calls of a small
 	// client within one second are no flood.
 	minFairBurst = 4
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -65,54 +65,54 @@
 }
 
 // Each client's own limits of rate and open calls hold without any limit of all clients.
-func TestClientLimitsWithoutTotalLimits(t *testing.T) {
+func TestClientLimitsHoldWithoutTotalLimits(t *testing.T) {
 	admitted := offerCalls(New(Config{Client: Limits{Rate: 50, Burst: 10}}), []float64{500, 20}, 10*time.Second, 0)
 	if admitted[0] < 48 || admitted[0] > 52 || admitted[1] < 19.5 {
 		t.Errorf("admitted per second: %.1f, want 48 to 52 and at least 19.5", admitted)
 	}
-	d := New(Config{Client: Limits{Open: 5}})
-	c := d.AddClient(0)
+	limiter := New(Config{Client: Limits{Open: 5}})
+	c := limiter.AddClient(0)
 	for i := range 10 {
-		if v := d.Admit(c, time.Second); (v == Admitted) != (i < 5) || i >= 5 && v != ClientOpen {
+		if v := limiter.Admit(c, time.Second); (v == Admitted) != (i < 5) || i >= 5 && v != ClientOpen {
 			t.Fatalf("call %d: decision %v with a limit of 5 open calls", i, v)
 		}
 	}
-	d.Done(c)
-	if d.Admit(c, time.Second) != Admitted {
+	limiter.Done(c)
+	if limiter.Admit(c, time.Second) != Admitted {
 		t.Error("a set-up was refused although a call had ended")
 	}
-	d.RemoveClient(c)
-	d.RemoveClient(c)
-	if d.open != 0 {
-		t.Errorf("%d open calls after the client was removed, want 0", d.open)
+	limiter.RemoveClient(c)
+	limiter.RemoveClient(c)
+	if limiter.open != 0 {
+		t.Errorf("%d open calls after the client was removed, want 0", limiter.open)
 	}
 }
 
 // At the limit of open calls of all, a client with more than an equal share is refused. Guards against a client that takes
 // all of them and shuts out the others.
 func TestTotalOpenLimitAdmitsClientBelowShare(t *testing.T) {
-	d := New(Config{All: Limits{Open: 100}})
-	greedy, other := d.AddClient(0), d.AddClient(0)
+	limiter := New(Config{All: Limits{Open: 100}})
+	greedy, other := limiter.AddClient(0), limiter.AddClient(0)
 	for range 200 {
-		d.Admit(greedy, time.Second)
+		limiter.Admit(greedy, time.Second)
 	}
 	if greedy.OpenCalls() != 100 {
 		t.Errorf("%d open calls while the other client has none, want 100", greedy.OpenCalls())
 	}
-	if d.Admit(other, time.Second) != Admitted || d.Admit(greedy, time.Second) != TotalOpen {
+	if limiter.Admit(other, time.Second) != Admitted || limiter.Admit(greedy, time.Second) != TotalOpen {
 		t.Error("the client with all open calls was admitted or the other one refused")
 	}
 }
 
 // The congestion level follows the refused share of a client's set-ups, and a change of level is reported once.
 func TestCongestionLevelFollowsRefusedShare(t *testing.T) {
-	d := New(Config{Client: Limits{Rate: 100, Burst: 10}})
-	c := d.AddClient(0)
+	limiter := New(Config{Client: Limits{Rate: 100, Burst: 10}})
+	c := limiter.AddClient(0)
 	now := time.Duration(0)
 	admitAt := func(rate float64, span time.Duration) {
 		for end := now + span; now < end; {
 			now += time.Duration(float64(time.Second) / rate)
-			d.Admit(c, now)
+			limiter.Admit(c, now)
 		}
 	}
 	for _, x := range []struct {
@@ -120,14 +120,14 @@
 		want int
 	}{{90, 0}, {130, 1}, {200, 2}, {1000, 3}} {
 		admitAt(x.rate, 20*time.Second)
-		if l, _ := d.Level(c, now); l != x.want {
+		if l, _ := limiter.Level(c, now); l != x.want {
 			t.Errorf("at %v set-ups per second: level %d, want %d", x.rate, l, x.want)
 		}
 	}
-	if _, changed := d.Level(c, now); changed {
+	if _, changed := limiter.Level(c, now); changed {
 		t.Error("an unchanged level was reported as changed")
 	}
-	if l, changed := d.Level(c, now+60*time.Second); l != 0 || !changed {
+	if l, changed := limiter.Level(c, now+60*time.Second); l != 0 || !changed {
 		t.Errorf("level %d without a change reported 60 s after the last set-up, want 0 and a change", l)
 	}
 }
@@ -179,16 +179,16 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	d := New(Config{Client: Limits{Rate: 1e6, Open: 1 << 30}, All: Limits{Rate: 1e6}})
-	var cs []*Client
+	limiter := New(Config{Client: Limits{Rate: 1e6, Open: 1 << 30}, All: Limits{Rate: 1e6}})
+	var clients []*Client
 	for range 500 {
-		cs = append(cs, d.AddClient(0))
+		clients = append(clients, limiter.AddClient(0))
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		c := cs[i%500]
-		if d.Admit(c, time.Duration(i)*time.Microsecond) == Admitted {
-			d.Done(c)
+		c := clients[i%500]
+		if limiter.Admit(c, time.Duration(i)*time.Microsecond) == Admitted {
+			limiter.Done(c)
 		}
 	}
 }
--- a/cmd/umbergauge/day.go
+++ b/cmd/umbergauge/day.go
@@ -19,16 +19,17 @@
 	"github.com/umbergauge/umbergauge/scenario/baseline"
 )
 
-// A whole fleet on one machine has scheduling delays: the checker tolerates checkSlack, and the controllers wait guardMargin
-// longer than the guard that the rule demands.
+// Scheduling delays occur when all controllers of a scenario run on one machine: the checker tolerates delays up to checkSlack,
+// and the controllers wait guardMargin longer than the guard that the rule demands.
 const (
 	checkSlack  = 75 * time.Millisecond
 	guardMargin = 50 * time.Millisecond
 )
 
+// dayCommand returns the subcommand day, which runs a scenario and reports on it.
 func dayCommand() *cobra.Command {
 	var seed uint64
-	var asJSON, draw, useBaseline, verbose, noRinging bool
+	var asJSON, generate, useBaseline, verbose, noRinging bool
 	var kind, trace string
 	var scripts []string
 	c := &cobra.Command{
@@ -36,15 +37,15 @@
 		Short: "Play a scripted day through real controllers on loopback and judge it; without FILE the built-in bad day",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			day, err := selectDay(args, draw, seed, kind)
+			selected, err := selectScenario(args, generate, seed, kind)
 			if err != nil {
 				return err
 			}
 			if cmd.Flags().Changed("seed") {
-				day.Seed = seed
+				selected.Seed = seed
 			}
-			if draw && len(args) == 0 && !cmd.Flags().Changed("play") {
-				b, err := yaml.Marshal(day)
+			if generate && len(args) == 0 && !cmd.Flags().Changed("play") {
+				b, err := yaml.Marshal(selected)
 				if err != nil {
 					return err
 				}
@@ -59,15 +60,15 @@
 				return err
 			}
 			if noRinging {
-				day = day.WithoutRinging()
+				selected = selected.WithoutRinging()
 			}
 			if useBaseline {
 				opt.Engine = baseline.New
 			}
 			if !asJSON {
-				fmt.Fprintf(cmd.ErrOrStderr(), "playing %s, seed %d: %d exchanges, %v, %d troubles\n", day.Name, day.Seed, day.Network.Exchanges, day.Length, len(day.Faults))
+				fmt.Fprintf(cmd.ErrOrStderr(), "playing %s, seed %d: %d exchanges, %v, %d troubles\n", selected.Name, selected.Seed, selected.Network.Exchanges, selected.Length, len(selected.Faults))
 			}
-			res, err := scenario.Run(cmd.Context(), day, opt)
+			res, err := scenario.Run(cmd.Context(), selected, opt)
 			if err != nil {
 				return resultError{err}
 			}
@@ -92,7 +93,7 @@
 	f := c.Flags()
 	f.Uint64Var(&seed, "seed", 1, "seed of the day")
 	f.BoolVar(&asJSON, "json", false, "print the verdict as JSON")
-	f.BoolVar(&draw, "draw", false, "draw a day from the seed and print it (with --play: play it)")
+	f.BoolVar(&generate, "draw", false, "draw a day from the seed and print it (with --play: play it)")
 	f.StringVar(&kind, "kind", "trouble", "kind of the drawn day: quiet, trouble, overload or only:KIND")
 	f.Bool("play", false, "play the drawn day")
 	f.BoolVar(&useBaseline, "plain", false, "play it with plain direct-only routing, for comparison")
@@ -103,8 +104,9 @@
 	return c
 }
 
-func selectDay(args []string, draw bool, seed uint64, kind string) (*scenario.Scenario, error) {
-	if draw {
+// selectScenario returns a scenario generated from the seed, a built-in one by its name, or that of a file.
+func selectScenario(args []string, generate bool, seed uint64, kind string) (*scenario.Scenario, error) {
+	if generate {
 		if len(args) > 0 {
 			return nil, fmt.Errorf("--draw takes no file")
 		}
@@ -113,14 +115,14 @@
 	if len(args) == 0 {
 		return scenario.OverlappingFaults(), nil
 	}
-	if day := scenario.Builtin(args[0]); day != nil {
-		return day, nil
+	if selected := scenario.Builtin(args[0]); selected != nil {
+		return selected, nil
 	}
-	day, err := scenario.Load(args[0])
+	selected, err := scenario.Load(args[0])
 	if err != nil {
 		return nil, resultError{err}
 	}
-	return day, nil
+	return selected, nil
 }
 
 // traceCall prints the IAMs of a call and all messages on their circuits.
--- a/cmd/umbergauge/main_test.go
+++ b/cmd/umbergauge/main_test.go
@@ -12,7 +12,7 @@
 // A wrong command line must give an error that is no resultError, so that the exit code is 2, in one line and without other
 // output.
 func TestWrongUsageIsAOneLineUsageError(t *testing.T) {
-	for _, args := range [][]string{{}, {"frob"}, {"bench"}, {"bench", "frob"}, {"script", "frob"}, {"run"}, {"day", "--frob"}, {"bench", "open", "--span", "1s"}} {
+	for _, args := range [][]string{{}, {"unknown"}, {"bench"}, {"bench", "unknown"}, {"script", "unknown"}, {"run"}, {"day", "--unknown"}, {"bench", "open", "--span", "1s"}} {
 		c := root()
 		var out bytes.Buffer
 		c.SetOut(&out)
@@ -59,6 +59,6 @@
 	}
 	err = check(path)
 	if !errors.As(err, new(resultError)) || !strings.Contains(err.Error(), ":3:9: listen: ") || !strings.Contains(err.Error(), "classes[0].patience: 1s is under the aim") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want a resultError that names listen at 3:9 and classes[0].patience", err)
 	}
 }
--- a/controller/calls.go
+++ b/controller/calls.go
@@ -152,11 +152,11 @@
 			break
 		}
 	}
-	opt := call.iam.Optional[:0]
+	optionalBuffer := call.iam.Optional[:0]
 	*call = openCall{id: c.lastID, destination: destination, arrivedAt: c.now, class: int(c.classByCategory[message.Category]), hookSet: hookSet}
 	call.iam = *message
 	call.iam.Compat = append([]byte(nil), message.Compat...)
-	call.iam.Optional = opt
+	call.iam.Optional = optionalBuffer
 	for _, optional := range message.Optional {
 		call.iam.Optional = append(call.iam.Optional, isup.Optional{Code: optional.Code, Value: append([]byte(nil), optional.Value...)})
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -196,7 +196,7 @@
 	HookAsked, HookLate, HookBusy, HookRefused                                  uint64
 }
 
-// phase is the phase of an open call.
+// phase is the progress of an open call.
 type phase uint8
 
 const (
@@ -205,7 +205,7 @@
 	phaseEnded
 )
 
-// openCall is one open call.
+// openCall is the state of an open call, from a client or in transit.
 type openCall struct {
 	id              uint64
 	clientCircuit   *clientCircuit // the client's circuit; nil in transit
@@ -262,7 +262,7 @@
 	congestion byte
 }
 
-// association is an association that is up.
+// association is the state kept for an association that is up.
 type association struct {
 	id          AssocID
 	peer        Peer
@@ -273,7 +273,7 @@
 	appServer *appServer
 }
 
-// appServer is a client with several associations.
+// appServer is the state of a client with several associations.
 type appServer struct {
 	name       string
 	as         *m3ua.AS
@@ -281,7 +281,7 @@
 	timer      timer.Handle
 }
 
-// farExchange is another exchange.
+// farExchange is the state of another exchange and of the trunk group to it.
 type farExchange struct {
 	Exchange
 	index       int
@@ -335,7 +335,7 @@
 	at time.Duration
 }
 
-// Core is one call controller. All its methods are called from one goroutine.
+// Core is one call controller. All its methods must be called from one goroutine.
 type Core struct {
 	Counters Counters
 
@@ -356,13 +356,13 @@
 	routeBuffer          []uint32 // reused
 	limits               *admission.Limiter
 	tenantLimits         *admission.Limiter
-	tenantClients        []*admission.Client // of tenants
+	tenantClients        []*admission.Client // in tenantLimits, by tenant
 	ownSwitch            *association
 	classByCategory      [256]uint8
 	dirty                []*farExchange // exchanges whose circuits have changed since the last Flush
 	events               []policy.Event
 	actions              []policy.Action
-	handled              int // number of events that have been passed to the engine
+	handled              int // number of entries of events that have been passed to the engine
 	dispatching          bool
 	draining             bool
 	cutCalls             map[numberPair]time.Duration
@@ -598,7 +598,7 @@
 	return report
 }
 
-// markDirty has the next Flush report the exchange's circuits.
+// markDirty makes the next Flush report the exchange's circuits.
 func (c *Core) markDirty(far *farExchange) {
 	if !far.dirty {
 		far.dirty = true
@@ -606,9 +606,9 @@
 	}
 }
 
-// dispatch passes events to the policy engine, one after the other, and carries out the resulting actions; a nested call
-// only queues its event. A panic propagates to the caller, but only after the events queued behind it have been handled:
-// other calls depend on them.
+// dispatch passes events to the policy engine, one after the other, and carries out the resulting actions. A dispatch that
+// runs within another one only queues its event. A panic leaves the outer dispatch only after the events queued behind the
+// failed one have been handled, because other calls depend on them.
 func (c *Core) dispatch(event policy.Event) {
 	c.events = append(c.events, event)
 	if c.dispatching {
@@ -739,7 +739,7 @@
 	}
 }
 
-// Unreachable records that an exchange's switch did not accept a connection, so that it may have restarted.
+// Unreachable records that an exchange's switch did not accept a connection and so may have restarted.
 func (c *Core) Unreachable(now time.Duration, pc uint32) {
 	c.now = now
 	if far := c.byPC[pc]; far != nil {
@@ -824,7 +824,7 @@
 	return far.association != nil && c.send(far.association.id, c.encodeData(far.PointCode, message))
 }
 
-// send queues a frame and counts a full queue; what that means for the association is up to the caller.
+// send queues a frame and counts a full queue. The calling function decides whether the association must be closed.
 func (c *Core) send(id AssocID, frame []byte) bool {
 	if c.port.Send(id, frame) {
 		return true
@@ -950,8 +950,8 @@
 	c.listChanged(entries...)
 }
 
-// endAttempt notifies the policy engine that the outstanding attempt has ended. The caller has already dealt with the
-// circuit.
+// endAttempt notifies the policy engine that the outstanding attempt has ended. The attempt's circuit, if it has one, has
+// been released or lost before.
 func (c *Core) endAttempt(call *openCall, cause policy.Cause, reason policy.Reason, final bool) {
 	far := call.outExchange
 	c.wheel.Stop(call.attemptTimer)
@@ -1071,7 +1071,7 @@
 	call.attemptTimer = c.wheel.Set(c.now+min(action.TimeOut, c.cfg.T7), timerEvent{kind: timerAttempt, id: call.id})
 }
 
-// reject releases a call that is not established: its final answer.
+// reject releases a call that is not established. The REL is the call's final answer.
 func (c *Core) reject(id uint64, outcome Outcome) {
 	call := c.calls[id]
 	if call == nil || call.phase != phaseOffered {
@@ -1080,11 +1080,11 @@
 	cause, location := call.cause, call.location
 	if cause == 0 {
 		cause, location = isup.CauseCongestion, isup.LocationNetwork
-		if call.inExchange != nil { // crankback without an attempt: no circuit to go on
+		if call.inExchange != nil { // a transit call without an attempt: crankback, since no circuit leads on
 			cause, location = isup.CauseNoCircuit, isup.LocationTransit
 		}
 	}
-	if call.outExchange != nil && call.hookWait != hookWaitAttemptEnd { // only possible if the policy engine has lost track of the attempt
+	if call.outExchange != nil && call.hookWait != hookWaitAttemptEnd { // cannot happen unless the policy engine loses track of the attempt
 		c.releaseOutgoing(call, isup.CauseTimerExpiry)
 		c.wheel.Stop(call.attemptTimer)
 	}
@@ -1136,9 +1136,9 @@
 	}
 	c.recordCall(call, outcome, cause)
 	if len(c.freeCalls) < 1024 {
-		opt := call.iam.Optional[:0]
+		optionalBuffer := call.iam.Optional[:0]
 		*call = openCall{phase: phaseEnded}
-		call.iam.Optional = opt
+		call.iam.Optional = optionalBuffer
 		c.freeCalls = append(c.freeCalls, call)
 	}
 }
@@ -1160,7 +1160,7 @@
 // maxCutCalls bounds the number of remembered cut calls; the oldest is dropped first.
 const maxCutCalls = 1 << 16
 
-// rememberCut remembers a cut call for Config.CutMemory, if it came from a client with a calling number.
+// rememberCut keeps a record of a cut call for Config.CutMemory, if the call came from a client and has a calling number.
 func (c *Core) rememberCut(call *openCall) {
 	if call.inExchange != nil || !call.iam.HasCalling || c.cfg.CutMemory <= 0 {
 		return
@@ -1176,7 +1176,8 @@
 	}
 }
 
-// takeCutCall reports whether the caller of a set-up dials an established call again that was cut, and deletes the record of it.
+// takeCutCall reports whether the caller of a set-up dials again after a call between the same numbers was cut, and deletes the
+// record of the cut call.
 func (c *Core) takeCutCall(iamMessage *isup.Message) bool {
 	if !iamMessage.HasCalling || len(c.cutCalls) == 0 {
 		return false
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -187,12 +187,13 @@
 
 func (r *rig) offerCall(cic uint16, called string) { r.receive(clientAssoc, 900, iam(cic, called)) }
 
+// Guards the plain course of a call: each message must be passed on once, and the release must free the circuit.
 func TestCallIsEstablishedAndReleased(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
 	m := r.expectOne(far2, isup.IAM)
 	if m.Called.String() != "2001" || m.Ref.ID != 1 || m.Hops != 4 {
-		t.Fatalf("%+v", m)
+		t.Fatalf("IAM %+v, want one to 2001 with reference 1 and 4 hops", m)
 	}
 	r.receive(far2, 2, isup.Message{Type: isup.ACM, CIC: m.CIC})
 	r.expectOne(clientAssoc, isup.ACM)
@@ -208,10 +209,11 @@
 		t.Errorf("%d calls open, %d circuits free", r.c.OpenCalls(), r.c.byPC[2].group.Free())
 	}
 	if c := r.c.Counters; c.Established != 1 || c.Finished != 1 || c.Offered != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v, want 1 offered, 1 established and 1 finished", c)
 	}
 }
 
+// A REL of the called side with cause 16 must count as a finished call, with any other cause as a cut one.
 func TestReleaseByCalledSideEndsOrCutsCall(t *testing.T) {
 	for cause, want := range map[isup.Cause]Outcome{isup.CauseNormal: Finished, isup.CauseTemporary: Cut} {
 		r := newRig(t, 10)
@@ -268,7 +270,7 @@
 		t.Error("a call or a seized circuit is left")
 	}
 	if record := r.records[len(r.records)-1]; record.Outcome != Abandoned {
-		t.Errorf("%+v", record)
+		t.Errorf("record %+v, want an abandoned call", record)
 	}
 }
 
@@ -291,7 +293,7 @@
 	}
 }
 
-// A client that never answers REL with RLC must not keep the circuit seized for ever, nor cause endless retransmissions. A
+// A client that never answers REL with RLC must not keep the circuit seized permanently, nor cause endless retransmissions. A
 // new IAM on the circuit counts as RLC.
 func TestReleaseWithoutRLCIsRetransmittedThenGivenUp(t *testing.T) {
 	r := newRig(t, 10)
@@ -310,6 +312,8 @@
 	r.expectOne(far2, isup.IAM)
 }
 
+// Calls to an unknown number, to the own exchange, or with a used-up hop counter must be released with the matching cause and
+// without an attempt.
 func TestUnroutableCallIsReleasedWithCause(t *testing.T) {
 	r := newRig(t, 10)
 	for called, want := range map[string]isup.Cause{"77": isup.CauseUnallocated, "1001": isup.CauseNoRoute} {
@@ -339,7 +343,7 @@
 	r.c.AssocDown(r.now, far2)
 	r.flush()
 	r.advance(190 * ms)
-	r.expectNone(far3) // within the guard
+	r.expectNone(far3) // no attempt within the guard
 	r.advance(2 * sec)
 	for _, m := range r.take(clientAssoc) {
 		if m.Type != isup.REL || m.CIC != 2 {
@@ -351,7 +355,7 @@
 	}
 	r.farUp(far2, 2, "h2", false) // all circuits idle there: it has restarted
 	if m := r.expectOne(clientAssoc, isup.REL); m.CIC != 1 {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want circuit 1", m)
 	}
 	if far := r.c.byPC[2]; far.startedAt != r.now || far.group.Free() != 10 {
 		t.Errorf("start time %v, %d circuits free", far.startedAt, far.group.Free())
@@ -410,7 +414,7 @@
 		r.receive(ownAssoc, 2, iam(1, "1001"))
 		if self == 1 {
 			if m := r.expectOne(ownAssoc, isup.RSC); m.CIC != 1 {
-				t.Errorf("%+v", m)
+				t.Errorf("RSC %+v, want circuit 1", m)
 			}
 			r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: 1})
 			r.expectOne(clientAssoc, isup.CON)
@@ -431,6 +435,7 @@
 	}
 }
 
+// Guards the course of a transit call: its IAM is sent on, and its circuit is freed only by an RLC towards the far end.
 func TestTransitCallIsForwardedAndReleased(t *testing.T) {
 	r := newRig(t, 10)
 	m := iam(9, "3001")
@@ -438,11 +443,11 @@
 	r.receive(ownAssoc, 2, m)
 	outgoing := r.expectOne(far3, isup.IAM)
 	if outgoing.Hops != 3 || outgoing.PropagationDelay != 100 || outgoing.Ref != m.Ref {
-		t.Errorf("%+v", outgoing)
+		t.Errorf("IAM %+v, want 3 hops, a delay of 100 ms and the reference of the incoming one", outgoing)
 	}
 	r.receive(far3, 3, isup.Message{Type: isup.CON, CIC: outgoing.CIC})
 	if answer := r.expectOne(ownAssoc, isup.CON); answer.CIC != 9 {
-		t.Errorf("%+v", answer)
+		t.Errorf("answer %+v, want circuit 9", answer)
 	}
 	r.receive(ownAssoc, 2, isup.Message{Type: isup.REL, CIC: 9, Cause: isup.CauseNormal})
 	r.expectOne(far3, isup.REL)
@@ -452,13 +457,14 @@
 	}
 }
 
+// A transit call that cannot be routed must be released with cause 34, and its circuit must stay busy until RLC.
 func TestTransitWithoutRouteIsReleasedWithNoCircuit(t *testing.T) {
 	r := newRig(t, 10)
 	r.receiveSSNM(ownAssoc, m3ua.DUNA, 3)
 	r.receive(ownAssoc, 2, iam(9, "3001"))
 	r.expectNone(far3)
 	if m := r.expectOne(ownAssoc, isup.REL); m.Cause != isup.CauseNoCircuit || m.Location != isup.LocationTransit {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 34 and location transit network", m)
 	}
 	if state, _ := r.c.byPC[2].group.Circuit(9); state != trunk.Incoming {
 		t.Errorf("circuit state %v before RLC", state)
@@ -482,7 +488,7 @@
 	r.expectOne(far3, isup.RLC)
 	r.advance(2 * sec)
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseCongestion {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 42", m)
 	}
 }
 
@@ -550,7 +556,7 @@
 	r.expectNone(clientAssoc)
 	r.advance(349 * ms)
 	if m := r.expectOne(clientAssoc, isup.REL); m.CIC != 2 || r.c.Waiting() != 0 {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want circuit 2 and no call without a final answer", m)
 	}
 	_ = start
 }
@@ -565,7 +571,7 @@
 	r.take(clientAssoc)
 	r.c.AssocDown(r.now, clientAssoc)
 	if m := r.take(far2); len(m) != 2 || m[0].Type != isup.REL || m[1].Type != isup.REL {
-		t.Errorf("%v", describe(m))
+		t.Errorf("sent %v, want two RELs", describe(m))
 	}
 	r.expectNone(clientAssoc)
 	if r.c.OpenCalls() != 0 {
@@ -573,7 +579,7 @@
 	}
 }
 
-// Messages that fit no call, and malformed ones, must not disturb calls on other circuits or seize circuits for good.
+// Messages that belong to no call, and malformed ones, must not disturb calls on other circuits or leave circuits seized.
 func TestInvalidClientMessagesAffectOnlyTheirSender(t *testing.T) {
 	r := newRig(t, 10)
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 5, Cause: 16}) // for a call that does not exist
@@ -637,8 +643,8 @@
 	var events []policy.Event
 	r := newRig(t, 10, func(c *Config) {
 		c.Engine = func(policyConfig policy.Config) (Engine, error) {
-			m, err := policy.New(policyConfig)
-			return recordingEngine{m, &events}, err
+			engine, err := policy.New(policyConfig)
+			return recordingEngine{engine, &events}, err
 		}
 	})
 	last := func() policy.Status {
@@ -651,18 +657,19 @@
 	}
 	r.c.Handle(r.now, ownAssoc, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 2}}, CongestionLevel: 3})
 	if s := last(); s.Exchange != "h2" || s.Report.Reduction != 1 || s.Report.Free != 10 {
-		t.Errorf("%+v", s)
+		t.Errorf("status after SCON: %+v, want h2 with reduction 1 and 10 circuits free", s)
 	}
 	r.receive(ownAssoc, 2, iam(4, "1001"))
 	if s := last(); s.Exchange != "h2" || s.Report.Free != 9 || s.Report.Size != 10 || s.Report.Reduction >= 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("status after a seizure: %+v, want h2 with 9 of 10 circuits free", s)
 	}
 	r.receive(ownAssoc, 2, isup.Message{Type: isup.REL, CIC: 4, Cause: isup.CauseNormal})
 	if s := last(); s.Report.Free != 10 {
-		t.Errorf("%+v", s)
+		t.Errorf("status after the release: %+v, want 10 circuits free", s)
 	}
 }
 
+// A drain must refuse new calls and keep established ones until ReleaseAll.
 func TestDrainRefusesNewCallsAndKeepsOpenOnes(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
@@ -670,7 +677,7 @@
 	r.c.Drain()
 	r.offerCall(2, "2001")
 	if m := r.expectOne(clientAssoc, isup.REL); m.CIC != 2 {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want circuit 2", m)
 	}
 	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
 	r.expectOne(clientAssoc, isup.CON)
@@ -685,6 +692,7 @@
 	}
 }
 
+// A reload must not drop an exchange or resize a trunk group, whose calls would be lost; a new exchange must get calls.
 func TestReloadAddsExchangesAndRejectsOtherChanges(t *testing.T) {
 	r := newRig(t, 10)
 	exchanges := append([]Exchange(nil), r.c.cfg.Exchanges...)
@@ -721,7 +729,7 @@
 	}
 }
 
-// discardPort drops all frames, but for the circuit of the last one sent to a far switch.
+// discardPort drops all frames and records the circuit of the last one sent to a far switch.
 type discardPort struct{ lastCIC uint16 }
 
 func (n *discardPort) Send(id AssocID, frame []byte) bool {
@@ -822,24 +830,24 @@
 	if n := len(r.take(far2)); n != 5 {
 		t.Errorf("%d set-ups sent", n)
 	}
-	kept := r.take(clientAssoc)
-	if len(kept) != 15 {
-		t.Fatalf("%v", describe(kept))
+	refusals := r.take(clientAssoc)
+	if len(refusals) != 15 {
+		t.Fatalf("client received %v, want 15 RELs", describe(refusals))
 	}
-	for _, m := range kept {
+	for _, m := range refusals {
 		if m.Type != isup.REL || m.Cause != isup.CauseCongestion || m.CongestionLevel == 0 {
-			t.Errorf("%+v", m)
+			t.Errorf("client received %+v, want REL with cause 42 and a congestion level", m)
 		}
 	}
 	if n := len(r.management[clientAssoc]); n < 1 || n > 3 || r.management[clientAssoc][n-1].Kind != m3ua.SCON || r.management[clientAssoc][n-1].CongestionLevel == 0 {
-		t.Errorf("%+v", r.management[clientAssoc])
+		t.Errorf("client received %+v, want 1 to 3 SCON, the last with a level above 0", r.management[clientAssoc])
 	}
 	other := AssocID(110)
 	r.c.AssocUp(r.now, other, Peer{Kind: Client, Name: "d"})
 	r.receive(other, 901, iam(1, "2001"))
 	r.expectOne(far2, isup.IAM)
 	if c := r.c.Counters; c.NotAdmitted != 15 || c.Offered != 6 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v, want 15 not admitted and 6 offered", c)
 	}
 }
 
@@ -885,10 +893,10 @@
 	r.expectNone(far2)
 	r.c.AssocUp(r.now, third, Peer{Kind: Client, ASP: 7, Override: true})
 	if m := r.expectOne(far2, isup.REL); m.Cause != isup.CauseNormal {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 16", m)
 	}
 	if r.closed[first] == "" || r.closed[second] == "" || r.closed[third] != "" {
-		t.Errorf("%v", r.closed)
+		t.Errorf("closed associations %v, want the first and the second", r.closed)
 	}
 	r.receive(third, 900, iam(1, "2001"))
 	r.expectOne(far2, isup.IAM)
--- a/controller/hooks.go
+++ b/controller/hooks.go
@@ -12,10 +12,10 @@
 
 // A call waits for its hooks at two places: before it is offered to the policy engine, and before the engine is notified
 // that a REL has ended an attempt. At the deadline it proceeds as if there were no hooks, or is refused if the hook set
-// says so. Hooks cannot break the rules: no attempt is outstanding while the call waits, and the policy engine alone then
+// declares @failure(refuse). Hooks cannot break the rules: no attempt is outstanding while the call waits, and the policy engine alone then
 // decides on attempts, the guard time, the drain grace and the cold budget.
 
-// scriptCall returns what hooks see of a call.
+// scriptCall returns the properties of a call that hooks can read.
 func (c *Core) scriptCall(call *openCall) script.Call {
 	view := script.Call{Called: call.iam.Called.String(), Calling: call.iam.Calling.String(), Class: c.cfg.Classes[call.class].Name,
 		Category: int(call.iam.Category), Transit: call.inExchange != nil, To: int(call.destination), Attempts: call.attempts, Age: c.now - call.arrivedAt}
@@ -46,8 +46,8 @@
 	}
 }
 
-// proceedWithoutHooks goes on with a call whose hooks were too busy or did not answer in time; it is refused if they declare
-// that.
+// proceedWithoutHooks goes on with a call whose hooks were too busy or did not answer in time. The call is refused if a hook
+// declares @failure(refuse).
 func (c *Core) proceedWithoutHooks(call *openCall) {
 	kind := script.Arrival
 	if call.hookWait == hookWaitAttemptEnd {
@@ -72,7 +72,7 @@
 	c.applyAdvice(call, advice)
 }
 
-// applyAdvice goes on with a call as advised by its hooks, or with empty advice without them.
+// applyAdvice goes on with a call as advised by its hooks; empty advice changes nothing.
 func (c *Core) applyAdvice(call *openCall, advice *hooks.Advice) {
 	waitedFor := call.hookWait
 	call.hookWait = hookWaitNone
--- a/controller/hooks_test.go
+++ b/controller/hooks_test.go
@@ -52,6 +52,7 @@
 	r.flush()
 }
 
+// Advice on arrival must take effect: a rewritten number is routed, a refusal has the hook's cause, and a class is counted.
 func TestArrivalHooksRewriteRefuseAndClassify(t *testing.T) {
 	stub, change := newStubHooks(t, "on arrival {\n\tmatch call.called {\n\t\t\"112\" -> rewrite(\"2112\")\n\t\t29* -> refuse(21)\n\t\t28* -> rewrite(\"77\")\n\t\t27* -> set_class(\"b\")\n\t}\n}\non route {\n\tif call.called matches 26* {\n\t\texclude(2)\n\t}\n}\n")
 	r := newRig(t, 10, change)
@@ -59,17 +60,17 @@
 	r.expectNone(far2)
 	r.answerHooks(stub)
 	if m := r.expectOne(far2, isup.IAM); m.Called.String() != "2112" {
-		t.Errorf("%v", m.Called)
+		t.Errorf("IAM to %v, want 2112", m.Called)
 	}
 	r.offerCall(2, "2900")
 	r.answerHooks(stub)
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != 21 || m.CIC != 2 {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 21 on circuit 2", m)
 	}
 	r.offerCall(3, "2800")
 	r.answerHooks(stub)
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseUnallocated {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 1", m)
 	}
 	r.offerCall(4, "2700")
 	r.answerHooks(stub)
@@ -77,7 +78,7 @@
 	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
 	r.expectOne(clientAssoc, isup.CON)
 	if record := r.records[len(r.records)-1]; record.Class != 1 {
-		t.Errorf("%+v", record)
+		t.Errorf("record %+v, want class 1", record)
 	}
 	r.offerCall(5, "2600")
 	r.answerHooks(stub)
@@ -111,13 +112,13 @@
 	second.busy = true
 	r.offerCall(1, "2001")
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseCongestion {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 42", m)
 	}
 }
 
 // The caller releases its call while the call waits for hooks, on arrival or at the end of an attempt. A late result must not
 // start an attempt or release a circuit that another call has seized meanwhile.
-func TestCallerReleaseWhileHooksArePending(t *testing.T) {
+func TestLateHookResultHasNoEffectAfterCallerRelease(t *testing.T) {
 	stub, change := newStubHooks(t, "on arrival {\n}\non attempt_end {\n}\n")
 	r := newRig(t, 10, change)
 	r.offerCall(1, "2001")
@@ -144,7 +145,7 @@
 		seen[m.CIC] = m.Ref.ID
 	}
 	if len(seen) != 2 { // the attempt of call 3 and the further one of call 2
-		t.Errorf("%v", seen)
+		t.Errorf("attempts by circuit: %v, want 2", seen)
 	}
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 2, Cause: 16})
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 3, Cause: 16})
@@ -192,7 +193,7 @@
 		t.Errorf("%d attempts", attempts)
 	}
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseUserBusy { // the caller receives the true cause
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 17", m)
 	}
 }
 
@@ -208,15 +209,15 @@
 	cic := r.expectOne(far2, isup.IAM).CIC
 	r.receive(far2, 2, isup.Message{Type: isup.REL, CIC: cic, Cause: 17})
 	if len(stub.requests) != 1 || stub.requests[0].Set != old {
-		t.Fatalf("%+v", stub.requests)
+		t.Fatalf("hook requests %+v, want one with the set of the arrival", stub.requests)
 	}
 	r.answerHooks(stub)
 	if record := r.records[len(r.records)-1]; record.Set != old || len(record.Tags) != 1 {
-		t.Errorf("%+v", record)
+		t.Errorf("record %+v, want the set of the arrival and one tag", record)
 	}
 	r.offerCall(2, "2001")
 	r.answerHooks(stub)
 	if m := r.take(clientAssoc); m[len(m)-1].Cause != 21 {
-		t.Errorf("%v", describe(m))
+		t.Errorf("client received %v, want a last REL with cause 21", describe(m))
 	}
 }
--- a/controller/ringing_test.go
+++ b/controller/ringing_test.go
@@ -59,7 +59,7 @@
 }
 
 // ACM and ANM arrive in one read: both must be passed back and reported to the policy engine in turn.
-func TestACMAndANMInOneRead(t *testing.T) {
+func TestACMAndANMInOneReadAreBothPassedBack(t *testing.T) {
 	r := newRingingRig(t)
 	r.offerCall(1, "2001")
 	cic := r.expectOne(far2, isup.IAM).CIC
@@ -68,7 +68,7 @@
 	}
 	r.flush()
 	if m := r.take(clientAssoc); len(m) != 2 || m[0].Type != isup.ACM || m[1].Type != isup.ANM {
-		t.Fatalf("%v", describe(m))
+		t.Fatalf("client received %v, want ACM and ANM", describe(m))
 	}
 	if r.c.Ringing() != 0 || r.view(2).SlotsHeld != 0 || r.c.Counters.Alerted != 1 || r.c.Counters.Established != 1 {
 		t.Errorf("%d ringing, %+v", r.c.Ringing(), r.c.Counters)
@@ -134,14 +134,14 @@
 }
 
 // The caller releases a ringing call: the attempt must be released, and all counts of open calls return to zero.
-func TestCallerReleaseWhileRinging(t *testing.T) {
+func TestCallerReleaseWhileRingingReleasesAttempt(t *testing.T) {
 	r := newRingingRig(t)
 	cic := r.ring(1, "2001")
 	r.advance(4 * sec)
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 1, Cause: isup.CauseNormal})
 	r.expectOne(clientAssoc, isup.RLC)
 	if m := r.expectOne(far2, isup.REL); m.CIC != cic || m.Cause != isup.CauseNormal {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 16 on the circuit of the attempt", m)
 	}
 	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic}) // crosses the REL
 	r.expectNone(clientAssoc)
--- a/controller/servers.go
+++ b/controller/servers.go
@@ -12,7 +12,7 @@
 // and its calls. The calls survive the loss of any association, and the loss of all associations for T(r). m3ua.AS decides
 // which association a message is sent on.
 
-// serverAssocUp adds an association of an application server, or gives an existing one the traffic again.
+// serverAssocUp adds an association of an application server, or makes a known one active again.
 func (c *Core) serverAssocUp(assoc *association) {
 	if known := c.assocs[assoc.id]; known != nil {
 		assoc = known
@@ -65,7 +65,7 @@
 	}
 }
 
-// closeServer ends a server's calls: T(r) expired without a new association, or its queue overflowed.
+// closeServer ends a server's calls after T(r) has expired without a new association, or its queue has overflowed.
 func (c *Core) closeServer(server *appServer) {
 	c.wheel.Stop(server.timer)
 	delete(c.servers, server.name)
--- a/controller/servers_test.go
+++ b/controller/servers_test.go
@@ -67,7 +67,7 @@
 	r.advance(1900 * ms)
 	r.joinServer(203, m3ua.TrafficLoadshare)
 	if m := r.take(203); len(m) != 3 || m[0].Type != isup.ACM || m[1].Type != isup.ANM || m[2].Type != isup.REL || m[2].CIC != 2 {
-		t.Fatalf("%v", describe(m))
+		t.Fatalf("new association received %v, want ACM, ANM and a REL on circuit 2", describe(m))
 	}
 	r.advance(5 * sec) // T(r) must not end the calls any more
 	if r.c.OpenCalls() != 1 {
@@ -140,7 +140,7 @@
 	r.fullQueues = map[AssocID]bool{asp1: true}
 	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic})
 	if m := r.take(asp2); len(m) != 2 || m[0].Type != isup.ACM || m[1].Type != isup.CON {
-		t.Fatalf("%v", describe(m))
+		t.Fatalf("other association received %v, want ACM and CON", describe(m))
 	}
 	if r.closed[asp1] == "" {
 		t.Error("the association with the full queue is not closed")
--- a/daemon/application_server_test.go
+++ b/daemon/application_server_test.go
@@ -44,34 +44,34 @@
 		time.Sleep(100 * time.Millisecond)
 		a.Write(r.iamFrame(1, "2001"))
 		if m := nextISUP(t, a); m.Type != isup.ACM {
-			t.Fatalf("%v", m)
+			t.Fatalf("first association received %v, want ACM", m)
 		}
 		a.Close()
 		time.Sleep(100 * time.Millisecond)
 		if k := r.counters(); k.Established != 1 || k.Cut+k.Finished+k.Abandoned != 0 {
-			t.Fatalf("%+v", k)
+			t.Fatalf("after the loss of the first association: counters %+v, want 1 established and none ended", k)
 		}
 		send(b, isup.Message{Type: isup.CQM, CIC: 1, Range: 1})
 		if m := nextISUP(t, b); m.Type != isup.CQR {
-			t.Fatalf("%v", m)
+			t.Fatalf("second association received %v, want CQR", m)
 		}
 		b.Close()
 		time.Sleep(1500 * time.Millisecond)
 		c := r.dialRaw(902)
 		time.Sleep(time.Second)
 		if k := r.counters(); k.Cut+k.Finished+k.Abandoned != 0 || k.Pending != 1 {
-			t.Fatalf("%+v", k)
+			t.Fatalf("after the third association came up: counters %+v, want none ended and 1 pending", k)
 		}
 		send(c, isup.Message{Type: isup.REL, CIC: 1, Cause: isup.CauseNormal})
 		if m := nextISUP(t, c); m.Type != isup.RLC {
-			t.Fatalf("%v", m)
+			t.Fatalf("third association received %v, want RLC", m)
 		}
 		c.Write(r.iamFrame(2, "2002"))
 		r.waitUntil("the second call is established", func() bool { return r.counters().Established == 2 })
 		c.Close()
 		time.Sleep(2500 * time.Millisecond)
 		if k := r.counters(); k.Finished != 1 || k.Cut != 1 {
-			t.Errorf("%+v", k)
+			t.Errorf("after T(r): counters %+v, want 1 finished and 1 cut", k)
 		}
 		r.close()
 	})
--- a/daemon/association.go
+++ b/daemon/association.go
@@ -59,7 +59,7 @@
 	a.conn.Close()
 }
 
-// finish lets the writer send what is queued and ASPDN, and then end.
+// finish makes the writer send the queued frames and ASPDN and then end.
 func (a *association) finish() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// read reads frames from the connection and posts them to the event loop in batches: those that arrived together.
+// read reads frames from the connection and posts them to the event loop. Frames that arrived together form one batch.
 func (a *association) read(ctx context.Context) {
 	scanner := m3ua.NewScanner(a.conn)
 	var msg m3ua.Message
@@ -123,7 +123,7 @@
 	defer func() { batchPool.Put(batch) }()
 	post := func(ev event) bool {
 		select {
-		case a.d.events <- ev: // when the queue is full, reading stops, and TCP holds the peer back
+		case a.d.events <- ev: // when the queue is full, reading stops, and TCP flow control stops the peer
 			return true
 		case <-ctx.Done():
 			return false
@@ -172,7 +172,7 @@
 					return
 				}
 			case m3ua.Deactivated, m3ua.Failed:
-				// A peer that wants traffic again must open a new connection, so that no frames of the old one mix in.
+				// To become active again the peer must open a new connection, so that no frames of the old one mix in.
 				a.close("association taken down by the peer")
 				return
 			}
@@ -203,7 +203,7 @@
 	}
 }
 
-// write sends what is queued, everything that is ready in one call, and keeps the association alive with heartbeats.
+// write sends the queued frames, all that are ready in one Write, and monitors the association with heartbeats.
 func (a *association) write() {
 	defer close(a.writerDone)
 	defer func() {
--- a/daemon/connect.go
+++ b/daemon/connect.go
@@ -96,10 +96,10 @@
 
 // accept accepts connections of clients up to the limits of the settings.
 func (d *Daemon) accept(ctx context.Context) {
-	// handshakes limits the rate of new connections. In a storm of them the clients turned away try again later, which spreads
+	// handshakes limits the rate of new connections. In a burst of them the clients turned away try again later, which spreads
 	// the load.
 	handshakes := rate.NewLimiter(rate.Limit(d.cfg.Limits.HandshakeRate), max(1, int(d.cfg.Limits.HandshakeRate)))
-	taskgroup.Accept(ctx, d.clientListener, func(err error) { d.log.Error().Err(err).Msg("accept") }, func(conn net.Conn) {
+	taskgroup.Accept(ctx, d.clientListener, func(err error) { d.log.Error().Err(err).Msg("accepting a client connection failed") }, func(conn net.Conn) {
 		if int(d.clients.Add(1)) > d.cfg.Limits.Clients || !handshakes.Allow() {
 			d.clients.Add(-1)
 			d.metrics.turnedAway.Inc()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -88,7 +88,8 @@
 	readAt      time.Duration // with evFrames: when the frames were read
 }
 
-// clockOffset is added to the time since the start, because the policy engine takes the time 0 as "long ago".
+// clockOffset is added to the time since the start, because to the policy engine a time of 0 means that an event has not
+// happened.
 const clockOffset = time.Hour
 
 func (d *Daemon) now() time.Duration { return clockOffset + time.Since(d.start) }
@@ -166,7 +167,7 @@
 	return d.metricsListener.Addr().String()
 }
 
-// Drain begins an orderly shutdown: new calls are refused, those without a final answer get it, and established ones may go on
+// Drain begins an orderly shutdown: new calls are refused, those without a final answer still get one, and established ones may go on
 // until the drain limit of the settings. Run returns when the drain is done.
 func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.drain) }) }
 
@@ -258,7 +259,7 @@
 	}
 }
 
-// finishAssociations lets every writer send what is queued and then ASPDN, and waits for the writers up to the write limit.
+// finishAssociations makes every writer send its queued frames and then ASPDN, and waits for the writers up to the write limit.
 func (d *Daemon) finishAssociations(ctx context.Context) {
 	for _, a := range d.associations {
 		a.finish()
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -154,14 +154,15 @@
 	return err == nil || !strings.Contains(err.Error(), "deadline") && !strings.Contains(err.Error(), "timeout")
 }
 
-// Guards the whole path over real sockets: a call over TCP on loopback is set up and released, and a drain then ends Run.
+// Guards the whole path over real sockets: a call over TCP on loopback must be set up and released, and a drain must then end
+// Run.
 func TestCallOverLoopbackTCPIsSetUpAndReleased(t *testing.T) {
 	r := newTestbed(t, tcpTransport(), nil)
 	c := r.newClient(900)
 	c.Offer(testCall(50 * time.Millisecond))
 	r.waitUntil("the call is finished", func() bool { return r.counters().Finished == 1 })
 	if k := r.counters(); k.Established != 1 || k.Offered != 1 {
-		t.Errorf("%+v", k)
+		t.Errorf("counters %+v, want 1 established and 1 offered", k)
 	}
 	c.Close()
 	r.d.Drain()
@@ -192,7 +193,7 @@
 		}
 		time.Sleep(time.Second)
 		if k := c.Totals(); k.Answered != 2 || k.Refused != 1 || k.Cut != 1 {
-			t.Errorf("%+v", k)
+			t.Errorf("client totals %+v, want 2 answered, 1 refused and 1 cut", k)
 		}
 		c.Close()
 		r.done <- nil
@@ -203,11 +204,11 @@
 // panickingEngine is a policy engine that panics on calls to numbers ending in 666.
 type panickingEngine struct{ controller.Engine }
 
-func (b panickingEngine) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
+func (p panickingEngine) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
 	if o, ok := ev.(policy.Offered); ok && strings.HasSuffix(o.Number, "666") {
 		panic("panic on a number ending in 666")
 	}
-	return b.Engine.Handle(now, ev, out)
+	return p.Engine.Handle(now, ev, out)
 }
 
 // A panic caused by a client's frame must close only that client's association and be logged; other calls go on.
@@ -215,8 +216,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestbed(t, memoryTransport(), func(_ *config.Config, o *Options) {
 			o.Engine = func(c policy.Config) (controller.Engine, error) {
-				m, err := policy.New(c)
-				return panickingEngine{m}, err
+				engine, err := policy.New(c)
+				return panickingEngine{engine}, err
 			}
 		})
 		good := r.newClient(900)
@@ -358,7 +359,7 @@
 }
 
 // Guards the control port's replies and the metrics that operators' tools read, and the limit on the length of its lines.
-func TestControlPortCommandsAndMetrics(t *testing.T) {
+func TestControlPortAndMetricsShowAnOpenCall(t *testing.T) {
 	r := newTestbed(t, tcpTransport(), func(c *config.Config, _ *Options) { c.Control, c.Metrics = "127.0.0.1:0", "127.0.0.1:0" })
 	c := r.newClient(900)
 	c.Offer(testCall(time.Hour))
--- a/daemon/hooks.go
+++ b/daemon/hooks.go
@@ -35,7 +35,7 @@
 	return &hookRunner{d: d, jobs: make(chan hookJob, d.cfg.Hooks.Queue)}
 }
 
-// Live returns the set that new calls belong to.
+// Live returns the set that new calls use.
 func (h *hookRunner) Live() *hooks.Set { return h.registry.Live() }
 
 // Submit queues a request; false: the queue is full.
--- a/daemon/hooks_test.go
+++ b/daemon/hooks_test.go
@@ -56,11 +56,11 @@
 	r.waitUntil("the call to 112 is established", func() bool { return r.counters().Established == 1 })
 	writeFile(t, file, "on arrival {\n\trefus(21)\n}\n")
 	if text := ask("hooks load", 554); !strings.Contains(text, "h.ug:2:2: there is no function refus; refuse?") {
-		t.Errorf("%q", text)
+		t.Errorf("hooks load answered %q, want an error at h.ug:2:2", text)
 	}
 	writeFile(t, file, "on arrival {\n\trefuse(21)\n}\n")
 	if text := ask("hooks load", 554); !strings.Contains(text, "example 1 (arrival)") {
-		t.Errorf("%q", text)
+		t.Errorf("hooks load answered %q, want an error of example 1", text)
 	}
 	c.Offer(k)
 	r.waitUntil("the second call to 112 is established", func() bool { return r.counters().Established == 2 })
@@ -115,7 +115,7 @@
 		}
 		r.waitUntil("all calls finished", func() bool { return r.counters().Finished == 11 })
 		if n := r.counters(); n.HookAsked != 11 {
-			t.Errorf("%+v", n)
+			t.Errorf("counters %+v, want 11 hook requests", n)
 		}
 		r.switches[0].SendStatus(0x0206, 2) // DRST
 		time.Sleep(3 * time.Second)
--- a/hooks/hooks_test.go
+++ b/hooks/hooks_test.go
@@ -223,6 +223,6 @@
 	_, err := Compile([]Source{{"a.ug", "on"}, {"b.ug", "fn"}}, names, nil)
 	var e script.Errors
 	if !errors.As(err, &e) || len(e) < 2 {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want the errors of both files", err)
 	}
 }
--- a/hooks/set.go
+++ b/hooks/set.go
@@ -1,5 +1,5 @@
 // Package hooks runs operators' scripts on call events: it selects the hooks of an event, merges their results, disables
-// hooks that fail by circuit breakers, and keeps the versions of the scripts. It reads no clock and does no I/O.
+// failing hooks by circuit breakers, and keeps the versions of the scripts. It reads no clock and does no I/O.
 //
 // Hooks only advise and annotate; package policy makes the decisions and its rules hold whatever a hook requests. Advice
 // cannot start, repeat or answer a call. It can only refuse one that has just arrived. Set.merge is the only place where a
--- a/trunk/trunk.go
+++ b/trunk/trunk.go
@@ -598,7 +598,7 @@
 	g.startTimer(g.timers.SignallingHold, 0, timerHold)
 }
 
-// Sync asks the far switch, when signalling comes up, which circuits it considers busy. No circuit can be seized until all
+// Sync is called when signalling comes up. It asks the far switch which circuits it considers busy. No circuit can be seized until all
 // these queries are answered (Q.764, 2.8.3).
 func (g *Group) Sync() {
 	g.inSync, g.gen = false, g.gen+1
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -73,6 +73,7 @@
 }
 
 // In a dual seizure the call of the end that controls the circuit continues, and the other end's call loses the circuit.
+// Guards against both calls on one circuit, and against the loss of both.
 func TestDualSeizureIsWonByControllingEnd(t *testing.T) {
 	a, b := newGroup(t, 1, 2, 1), newGroup(t, 2, 1, 1) // circuit 1 is odd, so the end with the lower point code controls it
 	x, _ := a.Seize(11)
@@ -98,7 +99,7 @@
 }
 
 // REL without RLC is retransmitted until T5, then RSC is sent until the far end answers. Guards against a circuit that
-// stays busy for ever after a lost release.
+// stays busy permanently after a lost release.
 func TestUnansweredReleaseIsFollowedByReset(t *testing.T) {
 	g := newGroup(t, 1, 2, 2)
 	cic, _ := g.Seize(1)
@@ -115,7 +116,7 @@
 		}
 		timer, ok := findAction[StartTimer](acts)
 		if !ok {
-			t.Fatal("no timer was started: the circuit would stay busy for ever")
+			t.Fatal("no timer was started: the circuit would stay busy permanently")
 		}
 		g.TimerExpired(timer.TimerID)
 	}
@@ -181,8 +182,9 @@
 	}
 }
 
-// The range of a group message may begin or end outside the circuits of the group. It applies to those that exist.
-func TestGroupMessageRangeOutsideGroup(t *testing.T) {
+// The range of a group message may begin or end outside the circuits of the group. The message must apply to those that exist,
+// and must not cause an access beyond them.
+func TestGroupMessageAppliesOnlyToExistingCircuits(t *testing.T) {
 	g := newGroup(t, 1, 2, 4)
 	cic, _ := g.Seize(7)
 	g.FromFar(&isup.Message{Type: isup.GRS, CIC: 0, Range: 31})
@@ -199,8 +201,8 @@
 	}
 }
 
-// A retransmitted CQM is answered twice. Guards against a second response, older than a call set up since, that ends this
-// call because it shows the circuit as idle.
+// A retransmitted CQM is answered twice. The second response may be older than a call that was set up since, and shows the
+// call's circuit as idle: it must not end the call.
 func TestSecondResponseToRetransmittedQueryIsIgnored(t *testing.T) {
 	g, err := New(Timers{}, 1, 2, 2)
 	if err != nil {
@@ -228,7 +230,7 @@
 }
 
 // Signalling is lost while one call is being set up and two are established, of which the far switch still knows one. Only
-// that one continues.
+// that one must continue; the others must be reported lost.
 func TestCallsKnownToFarSwitchSurviveSignallingLoss(t *testing.T) {
 	g := newGroup(t, 1, 2, 40)
 	a, _ := g.Seize(1)
@@ -274,7 +276,7 @@
 	}
 }
 
-// Guards against established calls that are kept for ever when signalling does not return.
+// Guards against established calls that are kept without limit when signalling does not return.
 func TestEstablishedCallsAreLostAfterSignallingHold(t *testing.T) {
 	g := newGroup(t, 1, 2, 2)
 	cic, _ := g.Seize(5)
