--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -74,7 +74,7 @@
 	c := limiter.AddClient(0)
 	for i := range 10 {
 		if v := limiter.Admit(c, time.Second); (v == Admitted) != (i < 5) || i >= 5 && v != ClientOpen {
-			t.Fatalf("call %d: decision %v with a limit of 5 open calls", i, v)
+			t.Fatalf("call %d: decision %v, want the first 5 admitted and the others refused by the limit of 5 open calls", i, v)
 		}
 	}
 	limiter.Done(c)
@@ -145,7 +145,7 @@
 			got += admitted[i]
 		}
 		if got > 1.1*limit+2 {
-			t.Fatalf("admitted %.0f set-ups per second, limit %.0f: %v of %v", got, limit, admitted, rates)
+			t.Fatalf("admitted %.0f set-ups per second, want at most 10 %% above the limit of %.0f: %v of %v", got, limit, admitted, rates)
 		}
 		if want := min(total, limit); got < 0.85*want-2 {
 			t.Fatalf("admitted %.0f set-ups per second where %.0f fit: %v of %v", got, want, admitted, rates)
--- a/cmd/umbergauge/main_test.go
+++ b/cmd/umbergauge/main_test.go
@@ -20,7 +20,7 @@
 		c.SetArgs(args)
 		err := c.Execute()
 		if err == nil || errors.As(err, new(resultError)) || strings.Contains(err.Error(), "\n") || out.Len() > 0 {
-			t.Errorf("%q: %v, printed %q", args, err, out.String())
+			t.Errorf("%q: error %v, printed %q; want a one-line usage error and no output", args, err, out.String())
 		}
 	}
 }
@@ -31,7 +31,7 @@
 	c.SetOut(&out)
 	c.SetArgs([]string{"--version"})
 	if err := c.Execute(); err != nil || !strings.Contains(out.String(), "go1.") {
-		t.Errorf("%v, printed %q", err, out.String())
+		t.Errorf("error %v, printed %q; want the Go version", err, out.String())
 	}
 }
 
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -206,7 +206,7 @@
 	r.expectOne(far2, isup.REL)
 	r.receive(far2, 2, isup.Message{Type: isup.RLC, CIC: m.CIC})
 	if r.c.OpenCalls() != 0 || r.c.Waiting() != 0 || r.c.byPC[2].group.Free() != 10 {
-		t.Errorf("%d calls open, %d circuits free", r.c.OpenCalls(), r.c.byPC[2].group.Free())
+		t.Errorf("%d calls open, %d circuits free; want 0 and 10", r.c.OpenCalls(), r.c.byPC[2].group.Free())
 	}
 	if c := r.c.Counters; c.Established != 1 || c.Finished != 1 || c.Offered != 1 {
 		t.Errorf("counters %+v, want 1 offered, 1 established and 1 finished", c)
@@ -224,7 +224,7 @@
 		r.receive(far2, 2, isup.Message{Type: isup.REL, CIC: cic, Cause: cause})
 		r.expectOne(far2, isup.RLC)
 		if m := r.expectOne(clientAssoc, isup.REL); m.Cause != cause {
-			t.Errorf("caller released with cause %d", m.Cause)
+			t.Errorf("caller released with cause %d, want that of the called side", m.Cause)
 		}
 		if record := r.records[len(r.records)-1]; record.Outcome != want || record.Via != 2 {
 			t.Errorf("%+v, want %v", record, want)
@@ -239,7 +239,7 @@
 	cic := r.expectOne(far2, isup.IAM).CIC
 	r.advance(1501 * ms)
 	if m := r.expectOne(far2, isup.REL); m.Cause != isup.CauseTimerExpiry {
-		t.Errorf("attempt released with cause %d", m.Cause)
+		t.Errorf("attempt released with cause %d, want 102", m.Cause)
 	}
 	r.expectOne(clientAssoc, isup.REL)
 	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic})
@@ -301,7 +301,7 @@
 	r.expectOne(clientAssoc, isup.REL)
 	r.advance(4 * time.Minute)
 	if n := len(r.take(clientAssoc)); n != maxReleaseRetransmissions {
-		t.Errorf("REL retransmitted %d times", n)
+		t.Errorf("REL retransmitted %d times, want 5", n)
 	}
 	if len(r.c.assocs[clientAssoc].circuits) != 0 {
 		t.Error("the circuit is not given up")
@@ -312,8 +312,8 @@
 	r.expectOne(far2, isup.IAM)
 }
 
-// Calls to an unknown number, to the own exchange, or with a used-up hop counter must be released with the matching cause and
-// without an attempt.
+// Calls to an unknown number, to the own exchange, or with a used-up hop counter must be released with the
+// matching cause.
 func TestUnroutableCallIsReleasedWithCause(t *testing.T) {
 	r := newRig(t, 10)
 	for called, want := range map[string]isup.Cause{"77": isup.CauseUnallocated, "1001": isup.CauseNoRoute} {
@@ -327,7 +327,7 @@
 	m.HasHops, m.Hops = true, 0
 	r.receive(clientAssoc, 900, m)
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != 25 {
-		t.Errorf("hop counter used up: cause %d", m.Cause)
+		t.Errorf("hop counter used up: cause %d, want 25", m.Cause)
 	}
 }
 
@@ -347,18 +347,18 @@
 	r.advance(2 * sec)
 	for _, m := range r.take(clientAssoc) {
 		if m.Type != isup.REL || m.CIC != 2 {
-			t.Errorf("caller received %v on circuit %d", m.Type, m.CIC)
+			t.Errorf("caller received %v on circuit %d, want REL on circuit 2", m.Type, m.CIC)
 		}
 	}
 	if r.c.OpenCalls() != 1 {
-		t.Fatalf("%d calls open", r.c.OpenCalls())
+		t.Fatalf("%d calls open, want the established one", r.c.OpenCalls())
 	}
 	r.farUp(far2, 2, "h2", false) // all circuits idle there: it has restarted
 	if m := r.expectOne(clientAssoc, isup.REL); m.CIC != 1 {
 		t.Errorf("REL %+v, want circuit 1", m)
 	}
 	if far := r.c.byPC[2]; far.startedAt != r.now || far.group.Free() != 10 {
-		t.Errorf("start time %v, %d circuits free", far.startedAt, far.group.Free())
+		t.Errorf("start time %v, %d circuits free; want the current time and 10", far.startedAt, far.group.Free())
 	}
 }
 
@@ -373,7 +373,7 @@
 	r.advance(sec)
 	r.farUp(far2, 2, "h2", true)
 	if far := r.c.byPC[2]; far.startedAt != 0 || far.mayHaveRestarted {
-		t.Errorf("treated as cold, start time %v", far.startedAt)
+		t.Errorf("exchange treated as cold: start time %v, want 0", far.startedAt)
 	}
 	r.expectNone(clientAssoc)
 	if r.c.OpenCalls() != 1 {
@@ -389,7 +389,7 @@
 	r.farUp(far2, 2, "h2b", false)
 	far := r.c.byPC[2]
 	if far.startedAt != r.now || r.c.byAddress["h2b"] != far || r.c.byAddress["h2"] != nil {
-		t.Errorf("start time %v, addresses %v", far.startedAt, r.c.byAddress)
+		t.Errorf("start time %v, addresses %v; want the current time and h2b in place of h2", far.startedAt, r.c.byAddress)
 	}
 	r.offerCall(1, "2001")
 	r.expectOne(far2, isup.IAM)
@@ -430,12 +430,13 @@
 		r.advance(3 * sec)
 		r.expectOne(clientAssoc, isup.REL)
 		if state, _ := r.c.byPC[2].group.Circuit(1); state != trunk.Incoming {
-			t.Errorf("circuit state %v", state)
+			t.Errorf("circuit state %v, want incoming", state)
 		}
 	}
 }
 
-// Guards the course of a transit call: its IAM is sent on, and its circuit is freed only by an RLC towards the far end.
+// The IAM of a transit call must be sent on with its delay and the next hop count, and the REL on its circuit be answered by
+// RLC, without which the far end could not use the circuit again.
 func TestTransitCallIsForwardedAndReleased(t *testing.T) {
 	r := newRig(t, 10)
 	m := iam(9, "3001")
@@ -467,7 +468,7 @@
 		t.Errorf("REL %+v, want cause 34 and location transit network", m)
 	}
 	if state, _ := r.c.byPC[2].group.Circuit(9); state != trunk.Incoming {
-		t.Errorf("circuit state %v before RLC", state)
+		t.Errorf("circuit state %v before RLC, want incoming", state)
 	}
 	r.receive(ownAssoc, 2, isup.Message{Type: isup.RLC, CIC: 9})
 	if r.c.byPC[2].group.Free() != 10 {
@@ -575,7 +576,7 @@
 	}
 	r.expectNone(clientAssoc)
 	if r.c.OpenCalls() != 0 {
-		t.Errorf("%d calls open", r.c.OpenCalls())
+		t.Errorf("%d calls open, want 0", r.c.OpenCalls())
 	}
 }
 
@@ -601,7 +602,7 @@
 	r.expectOne(far2, isup.REL)
 	r.c.Handle(r.now, clientAssoc, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: 900, SI: 5, User: []byte{7, 0, 1, 0, 0, 0, 10, 3, 9, 9}}})
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseProtocolError || m.CIC != 7 {
-		t.Errorf("malformed IAM: %+v", m)
+		t.Errorf("malformed IAM: %+v, want REL with cause 111 on circuit 7", m)
 	}
 	r.c.Handle(r.now, clientAssoc, &m3ua.Message{Kind: m3ua.DUNA, Affected: []m3ua.Affected{{PC: 2}}})
 	r.offerCall(9, "2001")
@@ -622,7 +623,7 @@
 		r.advance(after)
 		m := iam(1, "2001")
 		if got := r.c.takeCutCall(&m); got != (i == 0) {
-			t.Errorf("after %v: recognised %v", after, got)
+			t.Errorf("after %v: recognised %v; the cut memory is 10 s", after, got)
 		}
 	}
 }
@@ -669,7 +670,7 @@
 	}
 }
 
-// A drain must refuse new calls and keep established ones until ReleaseAll.
+// A drain must refuse new calls and keep open ones until ReleaseAll.
 func TestDrainRefusesNewCallsAndKeepsOpenOnes(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
@@ -682,7 +683,7 @@
 	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
 	r.expectOne(clientAssoc, isup.CON)
 	if r.c.Waiting() != 0 || r.c.OpenCalls() != 1 {
-		t.Errorf("%d waiting, %d open", r.c.Waiting(), r.c.OpenCalls())
+		t.Errorf("%d calls waiting, %d open; want 0 and 1", r.c.Waiting(), r.c.OpenCalls())
 	}
 	r.c.ReleaseAll(r.now)
 	r.expectOne(clientAssoc, isup.REL)
@@ -828,7 +829,7 @@
 		r.offerCall(cic, "2001")
 	}
 	if n := len(r.take(far2)); n != 5 {
-		t.Errorf("%d set-ups sent", n)
+		t.Errorf("%d set-ups sent, want 5", n)
 	}
 	refusals := r.take(clientAssoc)
 	if len(refusals) != 15 {
@@ -877,7 +878,7 @@
 	r.expectOne(far2, isup.IAM)
 	r.c.AssocDown(r.now, clientAssoc)
 	if r.c.limits.Admit(r.c.limits.AddClient(r.now), r.now) != admission.Admitted || r.c.tenantClients[0].OpenCalls() != 0 {
-		t.Errorf("%d calls of the tenant open", r.c.tenantClients[0].OpenCalls())
+		t.Errorf("%d calls of the tenant open, want 0, or a set-up of another client was refused", r.c.tenantClients[0].OpenCalls())
 	}
 }
 
@@ -901,7 +902,7 @@
 	r.receive(third, 900, iam(1, "2001"))
 	r.expectOne(far2, isup.IAM)
 	if r.c.OpenCalls() != 1 {
-		t.Errorf("%d calls open", r.c.OpenCalls())
+		t.Errorf("%d calls open, want 1", r.c.OpenCalls())
 	}
 	r.c.AssocDown(r.now, first) // the loss of the first association is reported late
 	if r.c.OpenCalls() != 1 {
--- a/controller/hooks.go
+++ b/controller/hooks.go
@@ -11,9 +11,9 @@
 )
 
 // A call waits for its hooks at two places: before it is offered to the policy engine, and before the engine is notified
-// that a REL has ended an attempt. At the deadline it proceeds as if there were no hooks, or is refused if the hook set
-// declares @failure(refuse). Hooks cannot break the rules: no attempt is outstanding while the call waits, and the policy engine alone then
-// decides on attempts, the guard time, the drain grace and the cold budget.
+// that a REL has ended an attempt. At the deadline it proceeds as if there were no hooks, or on arrival is refused if a hook
+// of the set declares @failure(refuse). Hooks cannot break the rules: no attempt is outstanding while the call waits, and
+// the policy engine alone then decides on attempts, the guard time, the drain grace and the cold budget.
 
 // scriptCall returns the properties of a call that hooks can read.
 func (c *Core) scriptCall(call *openCall) script.Call {
@@ -46,8 +46,8 @@
 	}
 }
 
-// proceedWithoutHooks goes on with a call whose hooks were too busy or did not answer in time. The call is refused if a hook
-// declares @failure(refuse).
+// proceedWithoutHooks goes on with a call whose hooks were too busy or did not answer in time. On arrival the call is refused
+// if a hook declares @failure(refuse).
 func (c *Core) proceedWithoutHooks(call *openCall) {
 	kind := script.Arrival
 	if call.hookWait == hookWaitAttemptEnd {
--- a/controller/hooks_test.go
+++ b/controller/hooks_test.go
@@ -162,7 +162,7 @@
 	r.answerHooks(stub)
 	r.advance(5 * sec)
 	if r.c.Waiting() != 0 {
-		t.Errorf("%d calls without a final answer", r.c.Waiting())
+		t.Errorf("%d calls without a final answer, want 0", r.c.Waiting())
 	}
 }
 
@@ -190,7 +190,7 @@
 		r.advance(50 * ms)
 	}
 	if attempts < 1 || attempts > 4 {
-		t.Errorf("%d attempts", attempts)
+		t.Errorf("%d attempts, want 1 to 4", attempts)
 	}
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseUserBusy { // the caller receives the true cause
 		t.Errorf("REL %+v, want cause 17", m)
--- a/controller/random_sessions_test.go
+++ b/controller/random_sessions_test.go
@@ -238,13 +238,13 @@
 		checker.flush()
 		checker.check()
 		checker.farUp(far.id, far.pc, []string{"h2", "h3"}[far.pc-2], checker.rng.IntN(2) == 0)
-	case op < 92:
+	case op < 92: // the list of exchanges reports a change
 		checker.receiveSSNM(ownAssoc, []m3ua.Kind{m3ua.DUNA, m3ua.DAVA, m3ua.DRST, m3ua.DAVA}[checker.rng.IntN(4)], far.pc)
-	case op < 93:
+	case op < 93: // the association to the own switch is lost and comes up again
 		checker.c.AssocDown(checker.now, ownAssoc)
 		checker.c.AssocUp(checker.now, ownAssoc, Peer{Kind: OwnSwitch, PC: 1})
 		checker.flush()
-	default:
+	default: // time passes
 		checker.advanceChecked(time.Duration(checker.rng.IntN(400)) * ms)
 	}
 }
--- a/controller/ringing_test.go
+++ b/controller/ringing_test.go
@@ -44,7 +44,7 @@
 	r := newRingingRig(t)
 	cic := r.ring(1, "2001")
 	if v := r.view(2); v.SlotsHeld != 0 || v.Outstanding != 0 || r.c.Ringing() != 1 || r.c.Waiting() != 1 {
-		t.Errorf("%+v, %d ringing, %d waiting", v, r.c.Ringing(), r.c.Waiting())
+		t.Errorf("exchange %+v, %d ringing, %d waiting; want no slot held, 1 and 1", v, r.c.Ringing(), r.c.Waiting())
 	}
 	r.advance(15 * sec)
 	r.expectNone(far2)
@@ -54,7 +54,7 @@
 	r.advance(30 * sec) // the ringing limit must not end an established call
 	r.expectNone(clientAssoc)
 	if record := r.records[0]; record.Outcome != Answered || record.SetUp != 0 || record.After != 15*sec || r.c.Ringing() != 0 || r.c.Waiting() != 0 {
-		t.Errorf("%+v, %d ringing", record, r.c.Ringing())
+		t.Errorf("record %+v, %d ringing; want an answer after 15 s and 0", record, r.c.Ringing())
 	}
 }
 
@@ -71,7 +71,7 @@
 		t.Fatalf("client received %v, want ACM and ANM", describe(m))
 	}
 	if r.c.Ringing() != 0 || r.view(2).SlotsHeld != 0 || r.c.Counters.Alerted != 1 || r.c.Counters.Established != 1 {
-		t.Errorf("%d ringing, %+v", r.c.Ringing(), r.c.Counters)
+		t.Errorf("%d ringing, counters %+v; want 0, 1 alerted and 1 established", r.c.Ringing(), r.c.Counters)
 	}
 }
 
@@ -85,7 +85,7 @@
 	r.receive(far2, 2, isup.Message{Type: isup.CPG, CIC: cic, EventInformation: 2})
 	r.expectOne(clientAssoc, isup.CPG)
 	if r.c.Ringing() != 1 || r.view(2).SlotsHeld != 0 {
-		t.Errorf("%d ringing, %+v", r.c.Ringing(), r.view(2))
+		t.Errorf("%d ringing, exchange %+v; want 1 and no slot held", r.c.Ringing(), r.view(2))
 	}
 	r.advance(5 * sec)
 	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
@@ -104,13 +104,13 @@
 		r.expectNone(far2)
 		r.advance(2 * ms)
 		if m := r.expectOne(far2, isup.REL); m.Cause != isup.CauseNoAnswer {
-			t.Errorf("%s: attempt released with cause %d", name, m.Cause)
+			t.Errorf("%s: attempt released with cause %d, want 19", name, m.Cause)
 		}
 		if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseNoAnswer {
-			t.Errorf("%s: caller released with cause %d", name, m.Cause)
+			t.Errorf("%s: caller released with cause %d, want 19", name, m.Cause)
 		}
 		if v := r.view(2); v.Unresponsive || v.Load > 0 || r.c.Counters.NoAnswer != 1 || r.c.Counters.TimedOut != 0 {
-			t.Errorf("%s: %+v %+v", name, v, r.c.Counters)
+			t.Errorf("%s: exchange %+v, counters %+v; want no load, responsive, 1 no answer and no time-out", name, v, r.c.Counters)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic}) // crosses the REL
 	r.expectNone(clientAssoc)
 	if r.c.OpenCalls() != 0 || r.c.Ringing() != 0 || r.c.Waiting() != 0 {
-		t.Errorf("%d open, %d ringing, %d waiting", r.c.OpenCalls(), r.c.Ringing(), r.c.Waiting())
+		t.Errorf("%d open, %d ringing, %d waiting; want 0 of each", r.c.OpenCalls(), r.c.Ringing(), r.c.Waiting())
 	}
 }
 
@@ -177,12 +177,12 @@
 			r.receive(far2, 2, isup.Message{Type: isup.RSC, CIC: cic})
 		}
 		if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseTemporary {
-			t.Errorf("%s: caller released with cause %d", lost, m.Cause)
+			t.Errorf("%s: caller released with cause %d, want 41", lost, m.Cause)
 		}
 		r.advance(sec)
 		r.expectNone(far3)
 		if r.c.Waiting() != 0 || r.c.Ringing() != 0 {
-			t.Errorf("%s: %d waiting, %d ringing", lost, r.c.Waiting(), r.c.Ringing())
+			t.Errorf("%s: %d waiting, %d ringing; want 0 of each", lost, r.c.Waiting(), r.c.Ringing())
 		}
 		r = newRingingRig(t)
 		cic = r.ring(1, "2001")
@@ -191,7 +191,7 @@
 		r.take(far2)
 		r.advance(199 * ms)
 		if m := append(r.take(far2), r.take(far3)...); len(m) > 0 {
-			t.Errorf("%v within the guard", describe(m))
+			t.Errorf("sent %v within the guard, want nothing", describe(m))
 		}
 		r.advance(10 * ms)
 		if m := append(r.take(far2), r.take(far3)...); len(m) != 1 || m[0].Type != isup.IAM {
@@ -215,7 +215,7 @@
 		r.advance(10 * ms)
 	}
 	if v := r.view(2); r.c.Ringing() != 300 || v.SlotsHeld != 0 || v.Outstanding != 0 {
-		t.Fatalf("%d calls ring, %+v", r.c.Ringing(), v)
+		t.Fatalf("%d calls ring, exchange %+v; want 300 and no slot held", r.c.Ringing(), v)
 	}
 	r.take(far2)
 	r.offerCall(301, "2999")
@@ -235,18 +235,18 @@
 		r.advance(100 * ms)
 	}
 	if v := r.view(2); v.Load < 0.9 {
-		t.Errorf("load %.2f with a release delay of 0.9 s", v.Load)
+		t.Errorf("load %.2f with a release delay of 0.9 s, want at least 0.9", v.Load)
 	}
 	for range 4 {
 		r.c.RecordQueueDelay(40*sec, 50)
 		r.advance(500 * ms)
 	}
 	if v := r.view(1); v.Load < 0.9 {
-		t.Errorf("own load %.2f with an event-queue delay of 0.8 s", v.Load)
+		t.Errorf("own load %.2f with an event-queue delay of 0.8 s, want at least 0.9", v.Load)
 	}
 	r.c.Handle(r.now, ownAssoc, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 1}}, CongestionLevel: 3})
 	r.advance(2 * sec)
 	if v := r.view(1); v.Load < 0.99 {
-		t.Errorf("own load %.2f with the own switch at congestion level 3", v.Load)
+		t.Errorf("own load %.2f with the own switch at congestion level 3, want at least 0.99", v.Load)
 	}
 }
--- a/controller/servers_test.go
+++ b/controller/servers_test.go
@@ -46,7 +46,7 @@
 	r.expectOne(asp2, isup.RLC)
 	r.expectOne(far2, isup.REL)
 	if r.c.OpenCalls() != 0 || r.records[len(r.records)-1].Outcome != Finished {
-		t.Errorf("%d open, %+v", r.c.OpenCalls(), r.records)
+		t.Errorf("%d open, records %+v; want 0 and a finished call", r.c.OpenCalls(), r.records)
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	r.advance(5 * sec) // T(r) must not end the calls any more
 	if r.c.OpenCalls() != 1 {
-		t.Errorf("%d calls open", r.c.OpenCalls())
+		t.Errorf("%d calls open, want 1", r.c.OpenCalls())
 	}
 	r.expectNone(far2)
 }
@@ -90,11 +90,11 @@
 	r.assocDown(asp2)
 	r.advance(1999 * ms)
 	if r.c.OpenCalls() != 2 {
-		t.Fatalf("%d open within T(r)", r.c.OpenCalls())
+		t.Fatalf("%d calls open within T(r), want 2", r.c.OpenCalls())
 	}
 	r.advance(2 * ms)
 	if m := r.take(far2); len(m) != 2 || m[0].Type != isup.REL || m[1].Type != isup.REL || r.c.OpenCalls() != 0 || r.c.Waiting() != 0 {
-		t.Errorf("%v, %d open", describe(m), r.c.OpenCalls())
+		t.Errorf("sent %v, %d calls open; want two RELs and 0", describe(m), r.c.OpenCalls())
 	}
 	r.joinServer(203, m3ua.TrafficLoadshare)
 	r.expectNone(203)
@@ -121,7 +121,7 @@
 	}
 	r.advance(10 * ms)
 	if r.c.OpenCalls() != 0 || r.c.Waiting() != 0 {
-		t.Errorf("%d open, %d waiting", r.c.OpenCalls(), r.c.Waiting())
+		t.Errorf("%d open, %d waiting; want 0 of each", r.c.OpenCalls(), r.c.Waiting())
 	}
 	r.joinServer(asp2, m3ua.TrafficOverride)
 	r.expectNone(asp2)
@@ -158,7 +158,7 @@
 	cic := r.expectOne(far2, isup.IAM).CIC
 	r.joinServer(asp2, m3ua.TrafficOverride)
 	if m := r.management[asp1]; len(m) != 1 || m[0].Kind != m3ua.NTFY || m[0].StatusType != m3ua.StatusOther || m[0].StatusInfo != m3ua.InfoAlternateASP {
-		t.Errorf("earlier association received %+v", m)
+		t.Errorf("earlier association received %+v, want NTFY that another ASP is active", m)
 	}
 	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
 	r.expectOne(asp2, isup.CON)
@@ -182,6 +182,6 @@
 	r.assocDown(asp2)
 	r.advance(10 * time.Second)
 	if r.c.OpenCalls() != 1 {
-		t.Errorf("%d calls open", r.c.OpenCalls())
+		t.Errorf("%d calls open, want 1", r.c.OpenCalls())
 	}
 }
--- a/daemon/hooks_test.go
+++ b/daemon/hooks_test.go
@@ -83,7 +83,7 @@
 	ask("hooks rollback", 554)
 	ask("hooks unknown", 554)
 	if text := ask("show hooks", 211); !strings.Contains(text, "live version 1") || !strings.Contains(text, "in use") {
-		t.Errorf("%s", text)
+		t.Errorf("show hooks answered %s, want live version 1 in use", text)
 	}
 	if _, err := New(Options{Config: func() *config.Config {
 		x := *r.d.cfg
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -79,19 +79,19 @@
 	x, _ := a.Seize(11)
 	y, _ := b.Seize(22)
 	if v := a.FarSeized(y, 0); v != SeizureDisregarded {
-		t.Errorf("FarSeized at the controlling end returned %v", v)
+		t.Errorf("FarSeized at the controlling end returned %v, want SeizureDisregarded", v)
 	}
 	if m, ok := findAction[SendToOwn](takeActions(a)); !ok || m.Msg.Type != isup.RSC {
 		t.Error("no RSC was sent to the own switch for the far end's call")
 	}
 	if v := b.FarSeized(x, 0); v != SeizureAccepted {
-		t.Errorf("FarSeized at the other end returned %v", v)
+		t.Errorf("FarSeized at the other end returned %v, want SeizureAccepted", v)
 	}
 	if l, ok := findAction[CircuitLost](takeActions(b)); !ok || l.Call != 22 || l.Reason != DualSeizure || !l.SeizedHere {
-		t.Errorf("notification for the yielding call: %+v", l)
+		t.Errorf("notification for the yielding call: %+v, want call 22 lost by dual seizure", l)
 	}
 	if s, c := a.Circuit(1); s != Outgoing || c != 11 {
-		t.Errorf("circuit at the controlling end: state %v, call %d", s, c)
+		t.Errorf("circuit at the controlling end: state %v, call %d; want outgoing and 11", s, c)
 	}
 	if a.DualSeizures != 1 || b.DualSeizures != 1 {
 		t.Error("the dual seizure was not counted at both ends")
@@ -165,7 +165,7 @@
 	takeActions(g)
 	g.FromFar(&isup.Message{Type: isup.CGB, CIC: 1, Range: 7, Supervision: isup.Hardware, Status: []byte{0xff}})
 	if l, ok := findAction[CircuitLost](takeActions(g)); !ok || l.Call != 7 || l.CIC != cic || l.Reason != HardwareBlocked {
-		t.Errorf("notification after the hardware failure: %+v", l)
+		t.Errorf("notification after the hardware failure: %+v, want call 7 lost", l)
 	}
 	g.Block(true) // a second blocking beside that of the hardware failure
 	g.FromFar(&isup.Message{Type: isup.CGU, CIC: 1, Range: 7, Supervision: isup.Hardware, Status: []byte{0xff}})
@@ -190,7 +190,7 @@
 	g.FromFar(&isup.Message{Type: isup.GRS, CIC: 0, Range: 31})
 	acts := takeActions(g)
 	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 7 || l.CIC != cic {
-		t.Errorf("notification for the call: %+v", l)
+		t.Errorf("notification for the call: %+v, want call 7 lost", l)
 	}
 	if m, ok := findAction[SendToFar](acts); !ok || m.Msg.Type != isup.GRA || m.Msg.CIC != 0 {
 		t.Errorf("answer to GRS: %+v, want GRA for circuit 0", m)
@@ -241,7 +241,7 @@
 	g.Down()
 	acts := takeActions(g)
 	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 1 {
-		t.Errorf("the call being set up: %+v", l)
+		t.Errorf("the call being set up: %+v, want call 1 lost", l)
 	}
 	if _, ok := g.Seize(9); ok {
 		t.Fatal("a circuit was seized without signalling")
@@ -263,13 +263,13 @@
 	}
 	acts = takeActions(g)
 	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 3 {
-		t.Errorf("the call that the far switch does not know: %+v", l)
+		t.Errorf("the call that the far switch does not know: %+v, want call 3 lost", l)
 	}
 	if m, ok := findAction[SendToFar](acts); !ok || m.Msg.Type != isup.RSC || m.Msg.CIC != a {
 		t.Errorf("the circuit of the lost attempt was not reset: %+v", m)
 	}
 	if s, call := g.Circuit(b); s != Outgoing || call != 2 {
-		t.Errorf("circuit of the call that both ends know: state %v, call %d", s, call)
+		t.Errorf("circuit of the call that both ends know: state %v, call %d; want outgoing and 2", s, call)
 	}
 	if !g.InSync() {
 		t.Error("not in sync after all queries were answered")
@@ -288,7 +288,7 @@
 	}
 	g.TimerExpired(hold.TimerID)
 	if l, ok := findAction[CircuitLost](takeActions(g)); !ok || l.Call != 5 {
-		t.Errorf("notification for the call: %+v", l)
+		t.Errorf("notification for the call: %+v, want call 5 lost", l)
 	}
 }
 
