--- a/admission/admission.go
+++ b/admission/admission.go
@@ -107,7 +107,7 @@
 const (
 	demandTimeConstant = 4 * time.Second        // of the exponential decay of demand and refusals
 	shareInterval      = 100 * time.Millisecond // between updates of the fair share
-	fairBurstSpan      = time.Second            // a client may accumulate its fair share of this span
+	fairBurstSpan      = time.Second            // a client may accumulate its fair share over this span
 	// minFairBurst is the least burst, in calls, within a client's fair share. Arrivals are random: two calls of a small
 	// client within one second are no flood.
 	minFairBurst = 4
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -33,7 +33,7 @@
 	Classes   []Class       // in the order of Policy.Classes
 	Tenants   []string      // names, in the order of Policy.Tenants
 
-	AnswerMargin time.Duration // a final answer is sent this long before the caller gives up, to allow for its transmission
+	AnswerMargin time.Duration // a final answer is sent this long before the caller abandons the call, to allow for its transmission
 	CutMemory    time.Duration // how long a cut call is remembered, to recognise it when the caller dials again
 	Hops         byte          // hop counter of a call that arrives without one
 	MaxCalls     int           // limit of open calls; further ones are refused with cause 42
@@ -99,7 +99,7 @@
 type Class struct {
 	Name       string
 	Categories []isup.Category // calling party's categories of the class; categories listed in no class belong to the first
-	Patience   time.Duration   // callers give up after this, unless the call rings by then
+	Patience   time.Duration   // callers abandon a call after this, unless it rings by then
 	Ring       time.Duration   // how long callers let it ring; 0: 60 s
 }
 
@@ -376,7 +376,7 @@
 	queueDelaySum        time.Duration // sum of the event-queue delays since the last report
 	queueDelayCount      int           // number of events in queueDelaySum
 	queueDelayReportedAt time.Duration
-	ownReduction         float64 // share of set-ups that the own switch asks to hold back, by its last SCON
+	ownReduction         float64 // share by which the own switch asks to reduce set-ups, from its last SCON
 }
 
 // New makes a controller. now is the current time, which must be above zero.
@@ -528,7 +528,7 @@
 			c.dispatch(policy.Timer{ID: event.id})
 		case timerAttempt:
 			if call := c.calls[event.id]; call != nil && call.phase == phaseOffered && call.outExchange != nil {
-				if call.alerting { // T9, or the time that the caller lets it ring
+				if call.alerting { // T9, or the end of Class.Ring
 					c.Counters.NoAnswer++
 					c.releaseOutgoing(call, isup.CauseNoAnswer)
 					c.endAttempt(call, policy.TimedOut, policy.NoAnswer, false)
@@ -1080,11 +1080,11 @@
 	cause, location := call.cause, call.location
 	if cause == 0 {
 		cause, location = isup.CauseCongestion, isup.LocationNetwork
-		if call.inExchange != nil { // a transit call without an attempt: crankback, since no circuit leads on
+		if call.inExchange != nil { // a transit call without an attempt: crankback to the preceding exchange
 			cause, location = isup.CauseNoCircuit, isup.LocationTransit
 		}
 	}
-	if call.outExchange != nil && call.hookWait != hookWaitAttemptEnd { // cannot happen unless the policy engine loses track of the attempt
+	if call.outExchange != nil && call.hookWait != hookWaitAttemptEnd { // only possible if the policy engine no longer tracks the attempt
 		c.releaseOutgoing(call, isup.CauseTimerExpiry)
 		c.wheel.Stop(call.attemptTimer)
 	}
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -332,7 +332,7 @@
 }
 
 // The association is lost with one call being set up and one established. The first must fail, with no other attempt within
-// the guard; the second is kept, and cut only when the far switch comes back without knowing it.
+// the guard; the second is kept, and cut only when the far switch reconnects without knowing it.
 func TestAssociationLossThenRestartCutsUnknownCall(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
@@ -381,7 +381,7 @@
 	}
 }
 
-// A switch that comes back under a new address is a different machine and must be treated as cold.
+// A switch that reconnects under a new address is a different machine and must be treated as cold.
 func TestNewAddressMakesExchangeCold(t *testing.T) {
 	r := newRig(t, 10)
 	r.c.AssocDown(r.now, far2)
@@ -435,8 +435,8 @@
 	}
 }
 
-// The IAM of a transit call must be sent on with its delay and the next hop count, and the REL on its circuit be answered by
-// RLC, without which the far end could not use the circuit again.
+// The IAM of a transit call must be sent on with its delay and a decremented hop counter, and the REL on its circuit be answered
+// by RLC, without which the far end could not use the circuit again.
 func TestTransitCallIsForwardedAndReleased(t *testing.T) {
 	r := newRig(t, 10)
 	m := iam(9, "3001")
@@ -544,7 +544,7 @@
 	}
 }
 
-// A held call must be released one answer margin before its caller gives up.
+// A held call must be released one answer margin before its caller abandons it.
 func TestHeldCallIsReleasedBeforeCallerTimeout(t *testing.T) {
 	r := newRig(t, 1, func(c *Config) { c.Classes[0].Patience = 400 * ms })
 	r.offerCall(1, "2001")
--- a/controller/hooks.go
+++ b/controller/hooks.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// proceedWithoutHooks goes on with a call whose hooks were too busy or did not answer in time. On arrival the call is refused
+// proceedWithoutHooks continues a call whose hooks were too busy or did not answer in time. On arrival the call is refused
 // if a hook declares @failure(refuse).
 func (c *Core) proceedWithoutHooks(call *openCall) {
 	kind := script.Arrival
@@ -72,7 +72,7 @@
 	c.applyAdvice(call, advice)
 }
 
-// applyAdvice goes on with a call as advised by its hooks; empty advice changes nothing.
+// applyAdvice continues a call as advised by its hooks; empty advice changes nothing.
 func (c *Core) applyAdvice(call *openCall, advice *hooks.Advice) {
 	waitedFor := call.hookWait
 	call.hookWait = hookWaitNone
--- a/controller/ringing_test.go
+++ b/controller/ringing_test.go
@@ -38,7 +38,7 @@
 	return policy.View{}
 }
 
-// A call that rings much longer than the set-up time and the caller's set-up limit must stay open and be answered, without
+// A call that rings much longer than the set-up time and Class.Patience must stay open and be answered, without
 // holding a slot of the far processor.
 func TestRingingCallIsAnsweredLongAfterSetUpTime(t *testing.T) {
 	r := newRingingRig(t)
@@ -92,8 +92,8 @@
 	r.expectOne(clientAssoc, isup.ANM)
 }
 
-// A call that nobody answers must end at T9, or one answer margin before the caller gives up if that is earlier: with cause 19
-// and no further attempt. It must not count as load or unresponsiveness of the exchange.
+// A call that nobody answers must end at T9, or one answer margin before the caller abandons it if that is earlier: with cause
+// 19 and no further attempt. It must not count as load or unresponsiveness of the exchange.
 func TestUnansweredCallEndsWithNoAnswerCause(t *testing.T) {
 	for name, tc := range map[string]struct {
 		t9, ring, after time.Duration
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -167,8 +167,8 @@
 	return d.metricsListener.Addr().String()
 }
 
-// Drain begins an orderly shutdown: new calls are refused, those without a final answer still get one, and established ones may go on
-// until the drain limit of the settings. Run returns when the drain is done.
+// Drain begins an orderly shutdown: new calls are refused, those without a final answer still get one, and established ones
+// may continue until the drain limit of the settings. Run returns when the drain is done.
 func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.drain) }) }
 
 // Run serves until a drain is done, or until ctx ends, which closes all connections at once. It returns when all goroutines
--- a/trunk/trunk.go
+++ b/trunk/trunk.go
@@ -598,8 +598,8 @@
 	g.startTimer(g.timers.SignallingHold, 0, timerHold)
 }
 
-// Sync is called when signalling comes up. It asks the far switch which circuits it considers busy. No circuit can be seized until all
-// these queries are answered (Q.764, 2.8.3).
+// Sync is called when signalling comes up. It asks the far switch which circuits it considers busy. No
+// circuit can be seized until all these queries are answered (Q.764, 2.8.3).
 func (g *Group) Sync() {
 	g.inSync, g.gen = false, g.gen+1
 	clear(g.queries)
