--- a/cmd/umbergauge/main_test.go
+++ b/cmd/umbergauge/main_test.go
@@ -12,7 +12,7 @@
 // A wrong command line must give an error that is no resultError, so that the exit code is 2, in one line and without other
 // output.
 func TestWrongUsageIsAOneLineUsageError(t *testing.T) {
-	for _, args := range [][]string{{}, {"frob"}, {"bench"}, {"bench", "frob"}, {"script", "frob"}, {"run"}, {"day", "--frob"}, {"bench", "open", "--span", "1s"}} {
+	for _, args := range [][]string{{}, {"unknown"}, {"bench"}, {"bench", "unknown"}, {"script", "unknown"}, {"run"}, {"day", "--unknown"}, {"bench", "open", "--span", "1s"}} {
 		c := root()
 		var out bytes.Buffer
 		c.SetOut(&out)
@@ -20,7 +20,7 @@
 		c.SetArgs(args)
 		err := c.Execute()
 		if err == nil || errors.As(err, new(resultError)) || strings.Contains(err.Error(), "\n") || out.Len() > 0 {
-			t.Errorf("%q: %v, printed %q", args, err, out.String())
+			t.Errorf("%q: error %v, printed %q; want a one-line usage error and no output", args, err, out.String())
 		}
 	}
 }
@@ -31,7 +31,7 @@
 	c.SetOut(&out)
 	c.SetArgs([]string{"--version"})
 	if err := c.Execute(); err != nil || !strings.Contains(out.String(), "go1.") {
-		t.Errorf("%v, printed %q", err, out.String())
+		t.Errorf("error %v, printed %q; want the Go version", err, out.String())
 	}
 }
 
@@ -59,6 +59,6 @@
 	}
 	err = check(path)
 	if !errors.As(err, new(resultError)) || !strings.Contains(err.Error(), ":3:9: listen: ") || !strings.Contains(err.Error(), "classes[0].patience: 1s is under the aim") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want a resultError that names listen at 3:9 and classes[0].patience", err)
 	}
 }
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -187,12 +187,13 @@
 
 func (r *rig) offerCall(cic uint16, called string) { r.receive(clientAssoc, 900, iam(cic, called)) }
 
+// Guards the plain course of a call: each message must be passed on once, and the release must free the circuit.
 func TestCallIsEstablishedAndReleased(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
 	m := r.expectOne(far2, isup.IAM)
 	if m.Called.String() != "2001" || m.Ref.ID != 1 || m.Hops != 4 {
-		t.Fatalf("%+v", m)
+		t.Fatalf("IAM %+v, want one to 2001 with reference 1 and 4 hops", m)
 	}
 	r.receive(far2, 2, isup.Message{Type: isup.ACM, CIC: m.CIC})
 	r.expectOne(clientAssoc, isup.ACM)
@@ -205,13 +206,14 @@
 	r.expectOne(far2, isup.REL)
 	r.receive(far2, 2, isup.Message{Type: isup.RLC, CIC: m.CIC})
 	if r.c.OpenCalls() != 0 || r.c.Waiting() != 0 || r.c.byPC[2].group.Free() != 10 {
-		t.Errorf("%d calls open, %d circuits free", r.c.OpenCalls(), r.c.byPC[2].group.Free())
+		t.Errorf("%d calls open, %d circuits free; want 0 and 10", r.c.OpenCalls(), r.c.byPC[2].group.Free())
 	}
 	if c := r.c.Counters; c.Established != 1 || c.Finished != 1 || c.Offered != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v, want 1 offered, 1 established and 1 finished", c)
 	}
 }
 
+// A REL of the called side with cause 16 must count as a finished call, with any other cause as a cut one.
 func TestReleaseByCalledSideEndsOrCutsCall(t *testing.T) {
 	for cause, want := range map[isup.Cause]Outcome{isup.CauseNormal: Finished, isup.CauseTemporary: Cut} {
 		r := newRig(t, 10)
@@ -222,7 +224,7 @@
 		r.receive(far2, 2, isup.Message{Type: isup.REL, CIC: cic, Cause: cause})
 		r.expectOne(far2, isup.RLC)
 		if m := r.expectOne(clientAssoc, isup.REL); m.Cause != cause {
-			t.Errorf("caller released with cause %d", m.Cause)
+			t.Errorf("caller released with cause %d, want that of the called side", m.Cause)
 		}
 		if record := r.records[len(r.records)-1]; record.Outcome != want || record.Via != 2 {
 			t.Errorf("%+v, want %v", record, want)
@@ -237,7 +239,7 @@
 	cic := r.expectOne(far2, isup.IAM).CIC
 	r.advance(1501 * ms)
 	if m := r.expectOne(far2, isup.REL); m.Cause != isup.CauseTimerExpiry {
-		t.Errorf("attempt released with cause %d", m.Cause)
+		t.Errorf("attempt released with cause %d, want 102", m.Cause)
 	}
 	r.expectOne(clientAssoc, isup.REL)
 	r.receive(far2, 2, isup.Message{Type: isup.ANM, CIC: cic})
@@ -268,7 +270,7 @@
 		t.Error("a call or a seized circuit is left")
 	}
 	if record := r.records[len(r.records)-1]; record.Outcome != Abandoned {
-		t.Errorf("%+v", record)
+		t.Errorf("record %+v, want an abandoned call", record)
 	}
 }
 
@@ -291,7 +293,7 @@
 	}
 }
 
-// A client that never answers REL with RLC must not keep the circuit seized for ever, nor cause endless retransmissions. A
+// A client that never answers REL with RLC must not keep the circuit seized permanently, nor cause endless retransmissions. A
 // new IAM on the circuit counts as RLC.
 func TestReleaseWithoutRLCIsRetransmittedThenGivenUp(t *testing.T) {
 	r := newRig(t, 10)
@@ -299,7 +301,7 @@
 	r.expectOne(clientAssoc, isup.REL)
 	r.advance(4 * time.Minute)
 	if n := len(r.take(clientAssoc)); n != maxReleaseRetransmissions {
-		t.Errorf("REL retransmitted %d times", n)
+		t.Errorf("REL retransmitted %d times, want 5", n)
 	}
 	if len(r.c.assocs[clientAssoc].circuits) != 0 {
 		t.Error("the circuit is not given up")
@@ -310,6 +312,8 @@
 	r.expectOne(far2, isup.IAM)
 }
 
+// Calls to an unknown number, to the own exchange, or with a used-up hop counter must be released with the
+// matching cause.
 func TestUnroutableCallIsReleasedWithCause(t *testing.T) {
 	r := newRig(t, 10)
 	for called, want := range map[string]isup.Cause{"77": isup.CauseUnallocated, "1001": isup.CauseNoRoute} {
@@ -323,12 +327,12 @@
 	m.HasHops, m.Hops = true, 0
 	r.receive(clientAssoc, 900, m)
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != 25 {
-		t.Errorf("hop counter used up: cause %d", m.Cause)
+		t.Errorf("hop counter used up: cause %d, want 25", m.Cause)
 	}
 }
 
 // The association is lost with one call being set up and one established. The first must fail, with no other attempt within
-// the guard; the second is kept, and cut only when the far switch comes back without knowing it.
+// the guard; the second is kept, and cut only when the far switch reconnects without knowing it.
 func TestAssociationLossThenRestartCutsUnknownCall(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
@@ -339,22 +343,22 @@
 	r.c.AssocDown(r.now, far2)
 	r.flush()
 	r.advance(190 * ms)
-	r.expectNone(far3) // within the guard
+	r.expectNone(far3) // no attempt within the guard
 	r.advance(2 * sec)
 	for _, m := range r.take(clientAssoc) {
 		if m.Type != isup.REL || m.CIC != 2 {
-			t.Errorf("caller received %v on circuit %d", m.Type, m.CIC)
+			t.Errorf("caller received %v on circuit %d, want REL on circuit 2", m.Type, m.CIC)
 		}
 	}
 	if r.c.OpenCalls() != 1 {
-		t.Fatalf("%d calls open", r.c.OpenCalls())
+		t.Fatalf("%d calls open, want the established one", r.c.OpenCalls())
 	}
 	r.farUp(far2, 2, "h2", false) // all circuits idle there: it has restarted
 	if m := r.expectOne(clientAssoc, isup.REL); m.CIC != 1 {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want circuit 1", m)
 	}
 	if far := r.c.byPC[2]; far.startedAt != r.now || far.group.Free() != 10 {
-		t.Errorf("start time %v, %d circuits free", far.startedAt, far.group.Free())
+		t.Errorf("start time %v, %d circuits free; want the current time and 10", far.startedAt, far.group.Free())
 	}
 }
 
@@ -369,7 +373,7 @@
 	r.advance(sec)
 	r.farUp(far2, 2, "h2", true)
 	if far := r.c.byPC[2]; far.startedAt != 0 || far.mayHaveRestarted {
-		t.Errorf("treated as cold, start time %v", far.startedAt)
+		t.Errorf("exchange treated as cold: start time %v, want 0", far.startedAt)
 	}
 	r.expectNone(clientAssoc)
 	if r.c.OpenCalls() != 1 {
@@ -377,7 +381,7 @@
 	}
 }
 
-// A switch that comes back under a new address is a different machine and must be treated as cold.
+// A switch that reconnects under a new address is a different machine and must be treated as cold.
 func TestNewAddressMakesExchangeCold(t *testing.T) {
 	r := newRig(t, 10)
 	r.c.AssocDown(r.now, far2)
@@ -385,7 +389,7 @@
 	r.farUp(far2, 2, "h2b", false)
 	far := r.c.byPC[2]
 	if far.startedAt != r.now || r.c.byAddress["h2b"] != far || r.c.byAddress["h2"] != nil {
-		t.Errorf("start time %v, addresses %v", far.startedAt, r.c.byAddress)
+		t.Errorf("start time %v, addresses %v; want the current time and h2b in place of h2", far.startedAt, r.c.byAddress)
 	}
 	r.offerCall(1, "2001")
 	r.expectOne(far2, isup.IAM)
@@ -410,7 +414,7 @@
 		r.receive(ownAssoc, 2, iam(1, "1001"))
 		if self == 1 {
 			if m := r.expectOne(ownAssoc, isup.RSC); m.CIC != 1 {
-				t.Errorf("%+v", m)
+				t.Errorf("RSC %+v, want circuit 1", m)
 			}
 			r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: 1})
 			r.expectOne(clientAssoc, isup.CON)
@@ -426,11 +430,13 @@
 		r.advance(3 * sec)
 		r.expectOne(clientAssoc, isup.REL)
 		if state, _ := r.c.byPC[2].group.Circuit(1); state != trunk.Incoming {
-			t.Errorf("circuit state %v", state)
+			t.Errorf("circuit state %v, want incoming", state)
 		}
 	}
 }
 
+// The IAM of a transit call must be sent on with its delay and a decremented hop counter, and the REL on its circuit be answered
+// by RLC, without which the far end could not use the circuit again.
 func TestTransitCallIsForwardedAndReleased(t *testing.T) {
 	r := newRig(t, 10)
 	m := iam(9, "3001")
@@ -438,11 +444,11 @@
 	r.receive(ownAssoc, 2, m)
 	outgoing := r.expectOne(far3, isup.IAM)
 	if outgoing.Hops != 3 || outgoing.PropagationDelay != 100 || outgoing.Ref != m.Ref {
-		t.Errorf("%+v", outgoing)
+		t.Errorf("IAM %+v, want 3 hops, a delay of 100 ms and the reference of the incoming one", outgoing)
 	}
 	r.receive(far3, 3, isup.Message{Type: isup.CON, CIC: outgoing.CIC})
 	if answer := r.expectOne(ownAssoc, isup.CON); answer.CIC != 9 {
-		t.Errorf("%+v", answer)
+		t.Errorf("answer %+v, want circuit 9", answer)
 	}
 	r.receive(ownAssoc, 2, isup.Message{Type: isup.REL, CIC: 9, Cause: isup.CauseNormal})
 	r.expectOne(far3, isup.REL)
@@ -452,16 +458,17 @@
 	}
 }
 
+// A transit call that cannot be routed must be released with cause 34, and its circuit must stay busy until RLC.
 func TestTransitWithoutRouteIsReleasedWithNoCircuit(t *testing.T) {
 	r := newRig(t, 10)
 	r.receiveSSNM(ownAssoc, m3ua.DUNA, 3)
 	r.receive(ownAssoc, 2, iam(9, "3001"))
 	r.expectNone(far3)
 	if m := r.expectOne(ownAssoc, isup.REL); m.Cause != isup.CauseNoCircuit || m.Location != isup.LocationTransit {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 34 and location transit network", m)
 	}
 	if state, _ := r.c.byPC[2].group.Circuit(9); state != trunk.Incoming {
-		t.Errorf("circuit state %v before RLC", state)
+		t.Errorf("circuit state %v before RLC, want incoming", state)
 	}
 	r.receive(ownAssoc, 2, isup.Message{Type: isup.RLC, CIC: 9})
 	if r.c.byPC[2].group.Free() != 10 {
@@ -482,7 +489,7 @@
 	r.expectOne(far3, isup.RLC)
 	r.advance(2 * sec)
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseCongestion {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 42", m)
 	}
 }
 
@@ -537,7 +544,7 @@
 	}
 }
 
-// A held call must be released one answer margin before its caller gives up.
+// A held call must be released one answer margin before its caller abandons it.
 func TestHeldCallIsReleasedBeforeCallerTimeout(t *testing.T) {
 	r := newRig(t, 1, func(c *Config) { c.Classes[0].Patience = 400 * ms })
 	r.offerCall(1, "2001")
@@ -550,7 +557,7 @@
 	r.expectNone(clientAssoc)
 	r.advance(349 * ms)
 	if m := r.expectOne(clientAssoc, isup.REL); m.CIC != 2 || r.c.Waiting() != 0 {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want circuit 2 and no call without a final answer", m)
 	}
 	_ = start
 }
@@ -565,15 +572,15 @@
 	r.take(clientAssoc)
 	r.c.AssocDown(r.now, clientAssoc)
 	if m := r.take(far2); len(m) != 2 || m[0].Type != isup.REL || m[1].Type != isup.REL {
-		t.Errorf("%v", describe(m))
+		t.Errorf("sent %v, want two RELs", describe(m))
 	}
 	r.expectNone(clientAssoc)
 	if r.c.OpenCalls() != 0 {
-		t.Errorf("%d calls open", r.c.OpenCalls())
+		t.Errorf("%d calls open, want 0", r.c.OpenCalls())
 	}
 }
 
-// Messages that fit no call, and malformed ones, must not disturb calls on other circuits or seize circuits for good.
+// Messages that belong to no call, and malformed ones, must not disturb calls on other circuits or leave circuits seized.
 func TestInvalidClientMessagesAffectOnlyTheirSender(t *testing.T) {
 	r := newRig(t, 10)
 	r.receive(clientAssoc, 900, isup.Message{Type: isup.REL, CIC: 5, Cause: 16}) // for a call that does not exist
@@ -595,7 +602,7 @@
 	r.expectOne(far2, isup.REL)
 	r.c.Handle(r.now, clientAssoc, &m3ua.Message{Kind: m3ua.DATA, Data: m3ua.ProtocolData{OPC: 900, SI: 5, User: []byte{7, 0, 1, 0, 0, 0, 10, 3, 9, 9}}})
 	if m := r.expectOne(clientAssoc, isup.REL); m.Cause != isup.CauseProtocolError || m.CIC != 7 {
-		t.Errorf("malformed IAM: %+v", m)
+		t.Errorf("malformed IAM: %+v, want REL with cause 111 on circuit 7", m)
 	}
 	r.c.Handle(r.now, clientAssoc, &m3ua.Message{Kind: m3ua.DUNA, Affected: []m3ua.Affected{{PC: 2}}})
 	r.offerCall(9, "2001")
@@ -616,7 +623,7 @@
 		r.advance(after)
 		m := iam(1, "2001")
 		if got := r.c.takeCutCall(&m); got != (i == 0) {
-			t.Errorf("after %v: recognised %v", after, got)
+			t.Errorf("after %v: recognised %v; the cut memory is 10 s", after, got)
 		}
 	}
 }
@@ -637,8 +644,8 @@
 	var events []policy.Event
 	r := newRig(t, 10, func(c *Config) {
 		c.Engine = func(policyConfig policy.Config) (Engine, error) {
-			m, err := policy.New(policyConfig)
-			return recordingEngine{m, &events}, err
+			engine, err := policy.New(policyConfig)
+			return recordingEngine{engine, &events}, err
 		}
 	})
 	last := func() policy.Status {
@@ -651,18 +658,19 @@
 	}
 	r.c.Handle(r.now, ownAssoc, &m3ua.Message{Kind: m3ua.SCON, Affected: []m3ua.Affected{{PC: 2}}, CongestionLevel: 3})
 	if s := last(); s.Exchange != "h2" || s.Report.Reduction != 1 || s.Report.Free != 10 {
-		t.Errorf("%+v", s)
+		t.Errorf("status after SCON: %+v, want h2 with reduction 1 and 10 circuits free", s)
 	}
 	r.receive(ownAssoc, 2, iam(4, "1001"))
 	if s := last(); s.Exchange != "h2" || s.Report.Free != 9 || s.Report.Size != 10 || s.Report.Reduction >= 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("status after a seizure: %+v, want h2 with 9 of 10 circuits free", s)
 	}
 	r.receive(ownAssoc, 2, isup.Message{Type: isup.REL, CIC: 4, Cause: isup.CauseNormal})
 	if s := last(); s.Report.Free != 10 {
-		t.Errorf("%+v", s)
+		t.Errorf("status after the release: %+v, want 10 circuits free", s)
 	}
 }
 
+// A drain must refuse new calls and keep open ones until ReleaseAll.
 func TestDrainRefusesNewCallsAndKeepsOpenOnes(t *testing.T) {
 	r := newRig(t, 10)
 	r.offerCall(1, "2001")
@@ -670,12 +678,12 @@
 	r.c.Drain()
 	r.offerCall(2, "2001")
 	if m := r.expectOne(clientAssoc, isup.REL); m.CIC != 2 {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want circuit 2", m)
 	}
 	r.receive(far2, 2, isup.Message{Type: isup.CON, CIC: cic})
 	r.expectOne(clientAssoc, isup.CON)
 	if r.c.Waiting() != 0 || r.c.OpenCalls() != 1 {
-		t.Errorf("%d waiting, %d open", r.c.Waiting(), r.c.OpenCalls())
+		t.Errorf("%d calls waiting, %d open; want 0 and 1", r.c.Waiting(), r.c.OpenCalls())
 	}
 	r.c.ReleaseAll(r.now)
 	r.expectOne(clientAssoc, isup.REL)
@@ -685,6 +693,7 @@
 	}
 }
 
+// A reload must not drop an exchange or resize a trunk group, whose calls would be lost; a new exchange must get calls.
 func TestReloadAddsExchangesAndRejectsOtherChanges(t *testing.T) {
 	r := newRig(t, 10)
 	exchanges := append([]Exchange(nil), r.c.cfg.Exchanges...)
@@ -721,7 +730,7 @@
 	}
 }
 
-// discardPort drops all frames, but for the circuit of the last one sent to a far switch.
+// discardPort drops all frames and records the circuit of the last one sent to a far switch.
 type discardPort struct{ lastCIC uint16 }
 
 func (n *discardPort) Send(id AssocID, frame []byte) bool {
@@ -820,26 +829,26 @@
 		r.offerCall(cic, "2001")
 	}
 	if n := len(r.take(far2)); n != 5 {
-		t.Errorf("%d set-ups sent", n)
+		t.Errorf("%d set-ups sent, want 5", n)
 	}
-	kept := r.take(clientAssoc)
-	if len(kept) != 15 {
-		t.Fatalf("%v", describe(kept))
+	refusals := r.take(clientAssoc)
+	if len(refusals) != 15 {
+		t.Fatalf("client received %v, want 15 RELs", describe(refusals))
 	}
-	for _, m := range kept {
+	for _, m := range refusals {
 		if m.Type != isup.REL || m.Cause != isup.CauseCongestion || m.CongestionLevel == 0 {
-			t.Errorf("%+v", m)
+			t.Errorf("client received %+v, want REL with cause 42 and a congestion level", m)
 		}
 	}
 	if n := len(r.management[clientAssoc]); n < 1 || n > 3 || r.management[clientAssoc][n-1].Kind != m3ua.SCON || r.management[clientAssoc][n-1].CongestionLevel == 0 {
-		t.Errorf("%+v", r.management[clientAssoc])
+		t.Errorf("client received %+v, want 1 to 3 SCON, the last with a level above 0", r.management[clientAssoc])
 	}
 	other := AssocID(110)
 	r.c.AssocUp(r.now, other, Peer{Kind: Client, Name: "d"})
 	r.receive(other, 901, iam(1, "2001"))
 	r.expectOne(far2, isup.IAM)
 	if c := r.c.Counters; c.NotAdmitted != 15 || c.Offered != 6 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v, want 15 not admitted and 6 offered", c)
 	}
 }
 
@@ -869,7 +878,7 @@
 	r.expectOne(far2, isup.IAM)
 	r.c.AssocDown(r.now, clientAssoc)
 	if r.c.limits.Admit(r.c.limits.AddClient(r.now), r.now) != admission.Admitted || r.c.tenantClients[0].OpenCalls() != 0 {
-		t.Errorf("%d calls of the tenant open", r.c.tenantClients[0].OpenCalls())
+		t.Errorf("%d calls of the tenant open, want 0, or a set-up of another client was refused", r.c.tenantClients[0].OpenCalls())
 	}
 }
 
@@ -885,15 +894,15 @@
 	r.expectNone(far2)
 	r.c.AssocUp(r.now, third, Peer{Kind: Client, ASP: 7, Override: true})
 	if m := r.expectOne(far2, isup.REL); m.Cause != isup.CauseNormal {
-		t.Errorf("%+v", m)
+		t.Errorf("REL %+v, want cause 16", m)
 	}
 	if r.closed[first] == "" || r.closed[second] == "" || r.closed[third] != "" {
-		t.Errorf("%v", r.closed)
+		t.Errorf("closed associations %v, want the first and the second", r.closed)
 	}
 	r.receive(third, 900, iam(1, "2001"))
 	r.expectOne(far2, isup.IAM)
 	if r.c.OpenCalls() != 1 {
-		t.Errorf("%d calls open", r.c.OpenCalls())
+		t.Errorf("%d calls open, want 1", r.c.OpenCalls())
 	}
 	r.c.AssocDown(r.now, first) // the loss of the first association is reported late
 	if r.c.OpenCalls() != 1 {
--- a/trunk/trunk_test.go
+++ b/trunk/trunk_test.go
@@ -73,24 +73,25 @@
 }
 
 // In a dual seizure the call of the end that controls the circuit continues, and the other end's call loses the circuit.
+// Guards against both calls on one circuit, and against the loss of both.
 func TestDualSeizureIsWonByControllingEnd(t *testing.T) {
 	a, b := newGroup(t, 1, 2, 1), newGroup(t, 2, 1, 1) // circuit 1 is odd, so the end with the lower point code controls it
 	x, _ := a.Seize(11)
 	y, _ := b.Seize(22)
 	if v := a.FarSeized(y, 0); v != SeizureDisregarded {
-		t.Errorf("FarSeized at the controlling end returned %v", v)
+		t.Errorf("FarSeized at the controlling end returned %v, want SeizureDisregarded", v)
 	}
 	if m, ok := findAction[SendToOwn](takeActions(a)); !ok || m.Msg.Type != isup.RSC {
 		t.Error("no RSC was sent to the own switch for the far end's call")
 	}
 	if v := b.FarSeized(x, 0); v != SeizureAccepted {
-		t.Errorf("FarSeized at the other end returned %v", v)
+		t.Errorf("FarSeized at the other end returned %v, want SeizureAccepted", v)
 	}
 	if l, ok := findAction[CircuitLost](takeActions(b)); !ok || l.Call != 22 || l.Reason != DualSeizure || !l.SeizedHere {
-		t.Errorf("notification for the yielding call: %+v", l)
+		t.Errorf("notification for the yielding call: %+v, want call 22 lost by dual seizure", l)
 	}
 	if s, c := a.Circuit(1); s != Outgoing || c != 11 {
-		t.Errorf("circuit at the controlling end: state %v, call %d", s, c)
+		t.Errorf("circuit at the controlling end: state %v, call %d; want outgoing and 11", s, c)
 	}
 	if a.DualSeizures != 1 || b.DualSeizures != 1 {
 		t.Error("the dual seizure was not counted at both ends")
@@ -98,7 +99,7 @@
 }
 
 // REL without RLC is retransmitted until T5, then RSC is sent until the far end answers. Guards against a circuit that
-// stays busy for ever after a lost release.
+// stays busy permanently after a lost release.
 func TestUnansweredReleaseIsFollowedByReset(t *testing.T) {
 	g := newGroup(t, 1, 2, 2)
 	cic, _ := g.Seize(1)
@@ -115,7 +116,7 @@
 		}
 		timer, ok := findAction[StartTimer](acts)
 		if !ok {
-			t.Fatal("no timer was started: the circuit would stay busy for ever")
+			t.Fatal("no timer was started: the circuit would stay busy permanently")
 		}
 		g.TimerExpired(timer.TimerID)
 	}
@@ -164,7 +165,7 @@
 	takeActions(g)
 	g.FromFar(&isup.Message{Type: isup.CGB, CIC: 1, Range: 7, Supervision: isup.Hardware, Status: []byte{0xff}})
 	if l, ok := findAction[CircuitLost](takeActions(g)); !ok || l.Call != 7 || l.CIC != cic || l.Reason != HardwareBlocked {
-		t.Errorf("notification after the hardware failure: %+v", l)
+		t.Errorf("notification after the hardware failure: %+v, want call 7 lost", l)
 	}
 	g.Block(true) // a second blocking beside that of the hardware failure
 	g.FromFar(&isup.Message{Type: isup.CGU, CIC: 1, Range: 7, Supervision: isup.Hardware, Status: []byte{0xff}})
@@ -181,14 +182,15 @@
 	}
 }
 
-// The range of a group message may begin or end outside the circuits of the group. It applies to those that exist.
-func TestGroupMessageRangeOutsideGroup(t *testing.T) {
+// The range of a group message may begin or end outside the circuits of the group. The message must apply to those that exist,
+// and must not cause an access beyond them.
+func TestGroupMessageAppliesOnlyToExistingCircuits(t *testing.T) {
 	g := newGroup(t, 1, 2, 4)
 	cic, _ := g.Seize(7)
 	g.FromFar(&isup.Message{Type: isup.GRS, CIC: 0, Range: 31})
 	acts := takeActions(g)
 	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 7 || l.CIC != cic {
-		t.Errorf("notification for the call: %+v", l)
+		t.Errorf("notification for the call: %+v, want call 7 lost", l)
 	}
 	if m, ok := findAction[SendToFar](acts); !ok || m.Msg.Type != isup.GRA || m.Msg.CIC != 0 {
 		t.Errorf("answer to GRS: %+v, want GRA for circuit 0", m)
@@ -199,8 +201,8 @@
 	}
 }
 
-// A retransmitted CQM is answered twice. Guards against a second response, older than a call set up since, that ends this
-// call because it shows the circuit as idle.
+// A retransmitted CQM is answered twice. The second response may be older than a call that was set up since, and shows the
+// call's circuit as idle: it must not end the call.
 func TestSecondResponseToRetransmittedQueryIsIgnored(t *testing.T) {
 	g, err := New(Timers{}, 1, 2, 2)
 	if err != nil {
@@ -228,7 +230,7 @@
 }
 
 // Signalling is lost while one call is being set up and two are established, of which the far switch still knows one. Only
-// that one continues.
+// that one must continue; the others must be reported lost.
 func TestCallsKnownToFarSwitchSurviveSignallingLoss(t *testing.T) {
 	g := newGroup(t, 1, 2, 40)
 	a, _ := g.Seize(1)
@@ -239,7 +241,7 @@
 	g.Down()
 	acts := takeActions(g)
 	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 1 {
-		t.Errorf("the call being set up: %+v", l)
+		t.Errorf("the call being set up: %+v, want call 1 lost", l)
 	}
 	if _, ok := g.Seize(9); ok {
 		t.Fatal("a circuit was seized without signalling")
@@ -261,20 +263,20 @@
 	}
 	acts = takeActions(g)
 	if l, ok := findAction[CircuitLost](acts); !ok || l.Call != 3 {
-		t.Errorf("the call that the far switch does not know: %+v", l)
+		t.Errorf("the call that the far switch does not know: %+v, want call 3 lost", l)
 	}
 	if m, ok := findAction[SendToFar](acts); !ok || m.Msg.Type != isup.RSC || m.Msg.CIC != a {
 		t.Errorf("the circuit of the lost attempt was not reset: %+v", m)
 	}
 	if s, call := g.Circuit(b); s != Outgoing || call != 2 {
-		t.Errorf("circuit of the call that both ends know: state %v, call %d", s, call)
+		t.Errorf("circuit of the call that both ends know: state %v, call %d; want outgoing and 2", s, call)
 	}
 	if !g.InSync() {
 		t.Error("not in sync after all queries were answered")
 	}
 }
 
-// Guards against established calls that are kept for ever when signalling does not return.
+// Guards against established calls that are kept without limit when signalling does not return.
 func TestEstablishedCallsAreLostAfterSignallingHold(t *testing.T) {
 	g := newGroup(t, 1, 2, 2)
 	cic, _ := g.Seize(5)
@@ -286,7 +288,7 @@
 	}
 	g.TimerExpired(hold.TimerID)
 	if l, ok := findAction[CircuitLost](takeActions(g)); !ok || l.Call != 5 {
-		t.Errorf("notification for the call: %+v", l)
+		t.Errorf("notification for the call: %+v, want call 5 lost", l)
 	}
 }
 
