--- a/policy/api.go
+++ b/policy/api.go
@@ -117,7 +117,7 @@
 		Class       int
 		Tenant      int
 		Number      string // the dialled number
-		Destination int    // point code of the destination exchange (pools: first choice)
+		Destination int    // point code of the destination exchange; with Config.Pools the first choice
 		// AdvisedTandem is the tandem that a central point advises as having the most free capacity;
 		// -1: none. For a call in transit it is the exchange that the call comes from.
 		AdvisedTandem int
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -26,7 +26,7 @@
 	minSlots           = 1                      // a window always admits one set-up
 	maxHold            = time.Second            // longest wait of a call for a slot or a circuit
 	evidenceDecay      = 0.5                    // share of the load evidence that is kept from step to step
-	fullLoadDelayShare = 0.5                    // full load: answer delay of this share of the shortest aim
+	fullLoadDelayShare = 0.5                    // answer delay at full load, as a share of the shortest aim
 	reportMaxAge       = 2 * time.Second        // older load reports are ignored
 	stallThreshold     = 150 * time.Millisecond // a step this late shows that the controller stalled
 
@@ -53,16 +53,16 @@
 	overdueShare        = 0.75                   // an answer is overdue after this share of the shortest aim
 	probeCallRate       = 16.0                   // probe calls per second to an exchange, of all controllers
 	answerMargin        = 15 * time.Millisecond  // a hold ends at least this long before the due time
-	minBackOff          = time.Second            // of full exchanges and busy numbers; least probe interval
-	fullAfterRejections = 3                      // rejections in a row that show a lightly loaded one is full
+	minBackOff          = time.Second            // for full exchanges, busy numbers and probe calls
+	fullAfterRejections = 3                      // a lightly loaded one is full after this many in a row
 	minAttemptTimeOut   = 300 * time.Millisecond // shorter only if the call is due earlier
 	lossDecay           = 0.9                    // share of the counted losses kept from step to step
-	lossThreshold       = 1.5                    // losses from which on lost set-ups are retried
+	lossThreshold       = 1.5                    // number of losses from which lost set-ups are retried
 	// baseDelayGrowthDivisor lets a base delay grow by 1/100 per step until a quicker answer lowers it, so
 	// that it follows a path that has become longer.
 	baseDelayGrowthDivisor = 100
-	answerTimeMultiple     = 3                // usual answer times after which an answer is lost
-	numberRetention        = 10 * time.Second // until then a new call to a refused number is a redial
+	answerTimeMultiple     = 3                // an answer later than this many usual answer times is lost
+	numberRetention        = 10 * time.Second // for this long a new call to a refused number is a redial
 	capacityMultiple       = 2.4              // assumed capacity, as a multiple of the usual rate
 	meanRateWeight         = 4.0              // set-ups; weight of the mean rate of all exchanges
 	usualRateWeight        = 0.05             // weight of one step in the moving average of the usual rate
@@ -368,10 +368,10 @@
 // times its cold capacity within CrashSpan. The warm capacity is assumed to be capacityMultiple times the
 // usual rate, and a controller's share of the budget is its share of the usual rate.
 //
-// Among many controllers that share is less than one set-up per span. It is then a token bucket of one. The
-// first token comes at an offset that depends on the controller's index, so that not all controllers send at
-// once. While the latest answer shows a Low load, a controller whose share is below two set-ups may always
-// have one outstanding.
+// Among many controllers that share is less than one set-up per span. It is then enforced by a token bucket
+// that holds one token. The first token comes at an offset that depends on the controller's index, so that
+// not all controllers send at once. While the latest answer shows a Low load, a controller whose share is
+// below two set-ups may always have one outstanding.
 func (c *Engine) withinColdBudget(exchange *exchangeState) bool {
 	if !c.isCold(exchange) {
 		return true
@@ -556,7 +556,7 @@
 		if c.admits(c.exchanges[call.Destination], call) && c.admits(c.own, call) {
 			return queue[i:]
 		}
-		if !call.CutBefore && call.worth <= c.lowestWorth { // the calls behind it have no more priority
+		if !call.CutBefore && call.worth <= c.lowestWorth { // the calls behind it have no priority either
 			return nil
 		}
 	}
@@ -658,9 +658,9 @@
 	return min(reservedCircuits, math.Ceil(reservedShare*exchange.groupSize))
 }
 
-// sendSetUp starts an attempt and reports whether it did. No other place does, so these rules hold for every
-// attempt: the call is held and not yet due, its guard has passed, it has attempts left, the exchange is
-// ready and not the own one, the cold budget has room, and a call in transit goes to its destination only.
+// sendSetUp starts an attempt and reports whether it did. No other function does, so these rules hold for
+// every attempt: the call is held and not yet due, its guard has passed, it has attempts left, the exchange
+// is ready and not the own one, the cold budget has room, and a call in transit goes to its destination only.
 func (c *Engine) sendSetUp(call *callState, exchange *exchangeState) bool {
 	if call.phase != phaseHeld || c.now >= call.Due || c.now < call.notBefore ||
 		call.attempts >= c.cfg.MaxAttempts ||
@@ -736,8 +736,8 @@
 	}
 }
 
-// endCall ends a call, with its final answer if one is still owed. No other place sends one. The call fails
-// if an attempt may have been carried out, otherwise it is refused.
+// endCall ends a call, with its final answer if one is still owed. No other function sends final answers. The
+// call fails if an attempt may have been carried out, otherwise it is refused.
 func (c *Engine) endCall(call *callState, answerOwed bool) {
 	if answerOwed && call.phase != phaseOver && call.phase != phaseEstablished {
 		if call.maybeExecuted {
@@ -942,7 +942,7 @@
 }
 
 // noteFull records that the processor of an exchange rejected a set-up because it was full. A lightly loaded
-// exchange that rejects one now and then is not full: a back-off would cost all calls to it for a second.
+// exchange that rejects one now and then is not full: a back-off would stop all calls to it for a second.
 func (c *Engine) noteFull(exchange *exchangeState, wait time.Duration) {
 	if exchange.fullRejections++; wait > 0 ||
 		exchange.fullRejections >= fullAfterRejections || !c.lightlyLoaded(exchange) {
@@ -1091,11 +1091,12 @@
 	slotCount := float64(windowSlots(exchange))
 	base := slotCount
 	if load < mediumPeak {
-		// A small window that a short disturbance has cut has all its slots held. That share would read
-		// High and Table I would keep the window small, so below its initial size the share is taken of
-		// that size. Demand for more slots reads High too, so the share is taken at least of the set-ups
-		// that the exchange has shown to carry: those that it would answer, at the rate of this step,
-		// within the delay that reads Medium (Little's law).
+		// The share of slots held is taken of the window, but at least of two other sizes. One is the
+		// initial window: after a short disturbance has cut a window, all of its few slots are held. That
+		// share would read High, and Table I would keep the window small. The other is the number of
+		// set-ups outstanding when the exchange answers them at the rate of this step and with a delay that
+		// reads Medium (Little's law). Without it, demand beyond the window would read High and Table I
+		// would cut the window down to its initial size, though the exchange can carry more.
 		rate := float64(exchange.answeredInStep) / stepInterval.Seconds()
 		base = max(slotCount, exchange.initialWindow,
 			rate*(exchange.baseDelay.Seconds()+mediumPeak*c.fullLoadDelay.Seconds()))
@@ -1125,9 +1126,9 @@
 	return [3]float64{low, min(ramp(lowFull, mediumPeak), 1-high), high}
 }
 
-// deltaW returns the relative change of a window by Mamdani inference: a rule fires to the lesser of its
-// two memberships, rules with the same output merge to the greater, and the outputs are averaged by these
-// weights.
+// deltaW returns the relative change of a window by Mamdani inference: a rule fires to the smaller degree of
+// its two memberships, an output gets the greatest degree of its rules, and the result is the mean of the
+// outputs weighted by these degrees.
 func deltaW(load, heldShare float64) float64 {
 	loadGrades, heldGrades := memberships(load), memberships(heldShare)
 	outputs := [...]float64{fastDecrease, decrease, slowDecrease, noChange, slowIncrease, increase}
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -133,7 +133,7 @@
 		for h := 0.0; h <= 1; h += 0.05 {
 			w := deltaW(l, h)
 			if w < -0.6-1e-9 || w > 0.4+1e-9 {
-				t.Errorf("deltaW(%v, %v) = %v is out of range", l, h, w)
+				t.Errorf("deltaW(%v, %v) = %v is out of the range from -0.6 to 0.4", l, h, w)
 			}
 			if deltaW(l+0.3, h) > w+1e-9 || deltaW(l, h+0.3) > w+1e-9 {
 				t.Errorf("deltaW grows with the load or the share held at (%v, %v)", l, h)
@@ -213,7 +213,7 @@
 		}
 		r.advance(199 * ms)
 		if acts := r.do(Timer{ID: 1}); len(acts) != 0 {
-			t.Errorf("cause %d: %v before the guard had passed", cause, acts)
+			t.Errorf("cause %d: %v before the guard had passed, want no action", cause, acts)
 		}
 		r.advance(ms)
 		if acts := r.do(Timer{ID: 1}); r.setUpTarget(acts) != "a:1" {
@@ -422,9 +422,9 @@
 	}
 }
 
-// TestLineWidth keeps the lines of the decision module within 110 columns, a tab counted as four. Test files
-// are not checked.
-func TestLineWidth(t *testing.T) {
+// TestLinesWithin110Columns keeps the lines of this package within 110 columns, a tab counted as four. Test
+// files are not checked.
+func TestLinesWithin110Columns(t *testing.T) {
 	for _, name := range []string{"engine.go", "api.go", "view.go"} {
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -535,9 +535,9 @@
 	}
 }
 
-// TestFullExchangeGetsNoSetUpsDuringBackOff: a full processor rejects at once, so its slot is free again at
-// once and it was sent twenty set-ups per second. After fullAfterRejections in a row it gets none until its
-// back-off ends.
+// TestFullExchangeGetsNoSetUpsDuringBackOff: a full processor rejects at once, which frees the slot at once.
+// Limited by slots only, it was sent twenty set-ups per second. After fullAfterRejections rejections in a row
+// it gets none until its back-off ends.
 func TestFullExchangeGetsNoSetUpsDuringBackOff(t *testing.T) {
 	r := newHarness(t, testConfig(), 1000)
 	exchange := r.c.exchanges[1]
@@ -636,7 +636,7 @@
 	r.c.own.window, r.c.exchanges[3].window = 50, 50
 	for advised, want := range map[int]string{2: "a:2", 3: "a:3"} {
 		if got := r.setUpTarget(r.offerCall(1, func(o *Offered) { o.AdvisedTandem = advised })); got != want {
-			t.Errorf("tandem %d advised: sent to %s", advised, got)
+			t.Errorf("tandem %d advised: sent to %s instead", advised, got)
 		}
 	}
 	r.offerCall(1, func(o *Offered) { o.AdvisedTandem = 2 })
@@ -681,7 +681,7 @@
 		r.do(CallerReleased{Call: r.id})
 	}
 	if n := len(r.c.queuedDestinations); n != 0 && len(r.c.queuedDestinations[0].queue) != 0 {
-		t.Errorf("%d calls still held", n)
+		t.Errorf("calls are still held; %d destinations in the queue", n)
 	}
 }
 
@@ -806,8 +806,8 @@
 	}
 }
 
-// TestOwnStallNotCountedAsLoad: after a stall of the controller all answers and its own step timer come late
-// at once. They were read as load of all exchanges, and the windows were cut.
+// TestOwnStallNotCountedAsLoad: after a stall of the controller all answers and its own step timer are handled
+// late and together. The late answers were taken for load of all exchanges, and the windows were cut.
 func TestOwnStallNotCountedAsLoad(t *testing.T) {
 	r := newHarness(t, testConfig(), 20)
 	r.runSteps(2)
@@ -829,9 +829,9 @@
 	}
 }
 
-// TestRedialDetection: a call to a number that was refused lately counts as a redial, unless callers mark
-// their redials, the call has no number, or the number's lines are busy (mass calling).
-func TestRedialDetection(t *testing.T) {
+// TestCallToRefusedNumberCountsAsRedial: a call to a number that was refused lately counts as a redial, unless
+// callers mark their redials, the call has no number, or the number's lines are busy (mass calling).
+func TestCallToRefusedNumberCountsAsRedial(t *testing.T) {
 	for _, c := range []struct {
 		name                       string
 		marks, marked, massCalling bool
@@ -990,8 +990,9 @@
 	}
 }
 
-// TestOneRecoveryAllowsProbeCallsToAllUnresponsive: the exchanges of a region recover together. Without this
-// the others would wait for their own probe interval, which is long where there are many controllers.
+// TestOneRecoveryAllowsProbeCallsToAllUnresponsive: the exchanges of a region recover together. If the response
+// of one did not allow probe calls to all, the others would wait for their own probe interval, which is long
+// where there are many controllers.
 func TestOneRecoveryAllowsProbeCallsToAllUnresponsive(t *testing.T) {
 	cfg := testConfig()
 	cfg.Controllers = 81
@@ -1083,7 +1084,7 @@
 func TestBaseDelayNotCountedAsOwnLoad(t *testing.T) {
 	r := newHarness(t, testConfig(), 40)
 	baseDelay := 350 * ms // more than half of fullLoadDelay, with a shortest aim of 1.2 s
-	play := func(delay time.Duration, steps int) {
+	runCalls := func(delay time.Duration, steps int) {
 		for range steps {
 			var ids []uint64
 			for dest := 1; dest <= 3; dest++ {
@@ -1099,11 +1100,11 @@
 			r.do(Timer{ID: stepTimer})
 		}
 	}
-	play(baseDelay, 6)
+	runCalls(baseDelay, 6)
 	if stepLoad := r.c.own.stepLoad; stepLoad > lowFull {
 		t.Fatalf("own load %.2f from the base delay alone, want Low", stepLoad)
 	}
-	play(baseDelay+300*ms, 2)
+	runCalls(baseDelay+300*ms, 2)
 	if stepLoad := r.c.own.stepLoad; stepLoad < mediumPeak/2 {
 		t.Fatalf("own load %.2f when all answers come 300 ms later, want at least half of Medium", stepLoad)
 	}
--- a/policy/phases_test.go
+++ b/policy/phases_test.go
@@ -122,8 +122,8 @@
 	return f
 }
 
-// TestWindowsGrowUnderDemandWithoutLoad: no exchange is loaded, but the demand exceeds the windows. All slots
-// held read High, and the windows shrank to their initial size and stayed there.
+// TestWindowsGrowUnderDemandWithoutLoad: no exchange is loaded, but the demand exceeds the windows. The share
+// of slots held then reads High, and the windows shrank to their initial size and stayed there.
 func TestWindowsGrowUnderDemandWithoutLoad(t *testing.T) {
 	for _, answer := range []time.Duration{5 * ms, 20 * ms, 70 * ms, 300 * ms} {
 		f := newTrafficHarness(t, answer, 0)
@@ -202,11 +202,11 @@
 func TestWindowShrinksWhenExchangeSlowsDown(t *testing.T) {
 	f := newTrafficHarness(t, 20*ms, 0)
 	f.run(2000, 8*time.Second, 0, 3)
-	openWindow := f.c.exchanges[1].window
+	grownWindow := f.c.exchanges[1].window
 	f.answerDelay = 900 * ms
 	f.run(2000, 4*time.Second, 0, 3)
-	if exchange := f.c.exchanges[1]; openWindow < 8 || exchange.window > openWindow/5 {
-		t.Errorf("window %.1f, and %.1f four seconds after its exchange slowed down, want at least 8, then a fifth", openWindow, exchange.window)
+	if exchange := f.c.exchanges[1]; grownWindow < 8 || exchange.window > grownWindow/5 {
+		t.Errorf("window %.1f, and %.1f four seconds after its exchange slowed down, want at least 8, then a fifth", grownWindow, exchange.window)
 	}
 }
 
@@ -306,7 +306,7 @@
 }
 
 // TestUnresponsiveExchangeDetectedWithinTwoSeconds: tolerance of lost set-ups must not delay the detection of
-// an exchange that does not respond at all. After it only probe calls are sent.
+// an exchange that does not respond at all. Once it is detected, only probe calls are sent.
 func TestUnresponsiveExchangeDetectedWithinTwoSeconds(t *testing.T) {
 	f := newTrafficHarness(t, 20*ms, 0)
 	f.run(60, 6*time.Second, 0, 3)
