--- a/emulator/subscriber.go
+++ b/emulator/subscriber.go
@@ -19,9 +19,9 @@
 func (r Ringing) Check() error {
 	switch {
 	case r.Median < 0 || r.Median > 5*time.Minute:
-		return fmt.Errorf("median %v out of range [0, 5m]", r.Median)
+		return fmt.Errorf("median %v is not in the range of 0 to 5m", r.Median)
 	case r.Spread < 0 || r.Spread > 3:
-		return fmt.Errorf("spread %v out of range [0, 3]", r.Spread)
+		return fmt.Errorf("spread %v is not in the range of 0 to 3", r.Spread)
 	case r.NoAnswer < 0 || r.Busy < 0 || r.NoAnswer+r.Busy > 1:
 		return fmt.Errorf("no_answer %v and busy %v: shares must not be negative or add up to more than 1", r.NoAnswer, r.Busy)
 	}
--- a/emulator/switchset/switchset.go
+++ b/emulator/switchset/switchset.go
@@ -75,31 +75,31 @@
 		return nil, err
 	}
 	v := config.NewChecker(name, data)
-	v.Must(cfg.Delay >= 0 && cfg.Delay <= 10*time.Second, "delay", "%v out of range [0, 10s]", cfg.Delay)
+	v.Must(cfg.Delay >= 0 && cfg.Delay <= 10*time.Second, "delay", "%v is not in the range of 0 to 10s", cfg.Delay)
 	v.Must(len(cfg.Switches) > 0, "switches", "is missing: at least one switch is needed")
 	seen := map[uint32]bool{}
 	for i, sw := range cfg.Switches {
 		key := func(k string) string { return fmt.Sprintf("switches[%d].%s", i, k) }
-		v.Must(sw.PointCode > 0 && sw.PointCode <= 1<<14-1 && !seen[sw.PointCode], key("point_code"), "%d is missing, used twice or above 16383", sw.PointCode)
+		v.Must(sw.PointCode > 0 && sw.PointCode <= 1<<14-1 && !seen[sw.PointCode], key("point_code"), "%d is not in the range of 1 to 16383, or is given twice", sw.PointCode)
 		seen[sw.PointCode] = true
 		v.Address(key("listen"), sw.Listen)
 		for far, n := range sw.Circuits {
-			v.Must(n >= 0 && n <= isup.MaxCIC && far != sw.PointCode, key("circuits"), "%d circuits to exchange %d: the number must be 0 to %d and the exchange another one", n, far, isup.MaxCIC)
+			v.Must(n >= 0 && n <= isup.MaxCIC && far != sw.PointCode, key("circuits"), "%d circuits to exchange %d: the number is not in the range of 0 to %d, or the exchange is that of this switch", n, far, isup.MaxCIC)
 		}
-		v.Must(sw.Rate >= 0 && sw.Rate <= 1e6, key("rate"), "%v out of range [0, 1000000]", sw.Rate)
+		v.Must(sw.Rate >= 0 && sw.Rate <= 1e6, key("rate"), "%v is not in the range of 0 to 1000000", sw.Rate)
 		v.Must(sw.FullAfter >= 0 && sw.Hold >= 0, key("full_after"), "full_after and hold must not be negative")
 		for _, setting := range []struct {
 			key string
 			v   float64
 		}{{"follow_work", sw.FollowWork}, {"reject_work", sw.RejectWork}} {
-			v.Must(setting.v >= 0 && setting.v <= 10, key(setting.key), "%v out of range [0, 10]", setting.v)
+			v.Must(setting.v >= 0 && setting.v <= 10, key(setting.key), "%v is not in the range of 0 to 10", setting.v)
 		}
 		sum := 0.0
 		for _, setting := range []struct {
 			key string
 			v   float64
 		}{{"hang_up", sw.HangUp}, {"thin.full", sw.CallFaults.Full}, {"thin.silent", sw.CallFaults.Silent}, {"thin.reset", sw.CallFaults.Reset}, {"thin.failed", sw.CallFaults.Failed}} {
-			v.Must(setting.v >= 0 && setting.v <= 1, key(setting.key), "%v out of range [0, 1]", setting.v)
+			v.Must(setting.v >= 0 && setting.v <= 1, key(setting.key), "%v is not in the range of 0 to 1", setting.v)
 			sum += setting.v
 		}
 		v.Must(sum-sw.HangUp <= 1, key("thin"), "the shares add up to %.2f, more than 1", sum-sw.HangUp)
--- a/emulator/switchset/switchset_test.go
+++ b/emulator/switchset/switchset_test.go
@@ -51,7 +51,7 @@
 		"ringing[0]":                      {"busy: 0.01", "busy: 0.99"},
 		"s.yaml:7:32: spraed":             {"spread", "spraed"},
 		"delay":                           {"delay: 1ms", "delay: -1ms"},
-		"switches[1].thin.silent: 1.5 out of range [0, 1]": {"silent: 0.5", "silent: 1.5"},
+		"switches[1].thin.silent: 1.5 is not in the range of 0 to 1": {"silent: 0.5", "silent: 1.5"},
 	} {
 		text := strings.Replace(good, change[0], change[1], 1)
 		if text == good {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -353,7 +353,7 @@
 }
 
 func (c *Config) check(v *Checker) {
-	v.Must(c.Exchange > 0 && c.Exchange <= maxPointCode, "exchange", "the own point code is not in the range of 1 to %d", maxPointCode)
+	v.Must(c.Exchange > 0 && c.Exchange <= maxPointCode, "exchange", "this controller's point code is not in the range of 1 to %d", maxPointCode)
 	v.Must(c.Network <= 3, "network_indicator", "%d is not in the range of 0 to 3", c.Network)
 	if c.Listen == "" {
 		v.Errorf("listen", "is missing: the address on which clients connect")
@@ -414,7 +414,7 @@
 }
 
 func (c *Config) checkClasses(v *Checker) {
-	v.Must(len(c.Classes) > 0 && len(c.Classes) < 256, "classes", "%d classes; the number must be 1 to 255", len(c.Classes))
+	v.Must(len(c.Classes) > 0 && len(c.Classes) < 256, "classes", "%d classes: the number is not in the range of 1 to 255", len(c.Classes))
 	seen, names := map[int]string{}, map[string]bool{}
 	for i, class := range c.Classes {
 		key := func(k string) string { return fmt.Sprintf("classes[%d].%s", i, k) }
@@ -429,7 +429,7 @@
 		v.Must(class.LateWorth >= 0 && class.LateWorth <= 1, key("late_worth"), "%v is not in the range of 0 to 1", class.LateWorth)
 		for j, category := range class.Categories {
 			k := fmt.Sprintf("classes[%d].categories[%d]", i, j)
-			v.Must(category >= 0 && category <= 255, k, "%d is not a calling party's category: 0 to 255", category)
+			v.Must(category >= 0 && category <= 255, k, "%d is not a calling party's category (0 to 255)", category)
 			v.Must(seen[category] == "", k, "category %d is already assigned to class %s", category, seen[category])
 			seen[category] = class.Name
 		}
@@ -481,7 +481,7 @@
 			addresses[address] = exchange.PointCode
 		}
 		if exchange.PointCode == c.Exchange {
-			v.Must(exchange.Circuits == 0, key("circuits"), "the own exchange has no trunk group to itself")
+			v.Must(exchange.Circuits == 0, key("circuits"), "this controller's own exchange has no trunk group to itself")
 		} else {
 			v.Must(exchange.Circuits >= 0 && exchange.Circuits <= isup.MaxCIC, key("circuits"), "%d is not in the range of 0 to %d", exchange.Circuits, isup.MaxCIC)
 		}
@@ -491,8 +491,8 @@
 			}
 		}
 	}
-	v.Must(len(c.Exchanges) >= 2, "exchanges", "%d exchanges; at least the own one and another are required", len(c.Exchanges))
-	v.Must(seen[c.Exchange], "exchanges", "the own exchange %d is missing", c.Exchange)
+	v.Must(len(c.Exchanges) >= 2, "exchanges", "%d exchanges: at least this controller's own and another are required", len(c.Exchanges))
+	v.Must(seen[c.Exchange], "exchanges", "this controller's own exchange %d is missing", c.Exchange)
 }
 
 // Controller returns the settings of the call controller.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -50,7 +50,7 @@
 		{"guard: 250ms", "guard: soon", "f.yaml:4:8"},
 		{"guard: 250ms", "guard: -1s", "f.yaml:4:8: guard: -1s"},
 		{"exchange: 1", "exchange: 99999", "f.yaml:2:11: exchange"},
-		{"exchange: 1", "exchange: 7", "exchanges: the own exchange 7 is missing"},
+		{"exchange: 1", "exchange: 7", "exchanges: this controller's own exchange 7 is missing"},
 		{"listen: 127.0.0.1:2905", "listen: nowhere", "f.yaml:3:9: listen"},
 		{"aim: 1200ms", "aim: 0s", "f.yaml:8:10: classes[1].aim"},
 		{"patience: 6s", "patience: 50ms", "f.yaml:9:15: classes[1].patience"},
--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -86,21 +86,21 @@
 	checker := config.NewChecker(name, data)
 	checker.Must(cfg.Controller != "", "controller", "is missing: the address of the controller's listener")
 	checker.Must(cfg.Exchange > 0, "exchange", "is missing: the point code of the controller's exchange")
-	checker.Must(cfg.PointCode > 0 && cfg.PointCode+uint32(max(0, cfg.Clients)) < 1<<14, "point_code", "%d out of range: point codes of all %d clients must be above 0 and below 16384", cfg.PointCode, cfg.Clients)
-	checker.Must(cfg.Clients >= 1 && cfg.Clients <= 4096, "clients", "%d out of range [1, 4096]", cfg.Clients)
-	checker.Must(cfg.Span > 0 && cfg.Span <= 24*time.Hour, "span", "%v out of range (0, 24h]", cfg.Span)
-	checker.Must(cfg.Rate > 0 && cfg.Rate <= 1e6, "rate", "%v out of range (0, 1000000]", cfg.Rate)
-	checker.Must(cfg.Process == "poisson" || cfg.Process == "uniform" || cfg.Process == "recorded", "process", "%q is not one of poisson, uniform, recorded", cfg.Process)
+	checker.Must(cfg.PointCode > 0 && cfg.PointCode+uint32(max(0, cfg.Clients)) < 1<<14, "point_code", "%d is not in the range of 1 to 16382, or the last of the point codes of %d clients is not", cfg.PointCode, cfg.Clients)
+	checker.Must(cfg.Clients >= 1 && cfg.Clients <= 4096, "clients", "%d is not in the range of 1 to 4096", cfg.Clients)
+	checker.Must(cfg.Span > 0 && cfg.Span <= 24*time.Hour, "span", "%v is not above 0 and at most 24h", cfg.Span)
+	checker.Must(cfg.Rate > 0 && cfg.Rate <= 1e6, "rate", "%v is not above 0 and at most 1000000", cfg.Rate)
+	checker.Must(cfg.Process == "poisson" || cfg.Process == "uniform" || cfg.Process == "recorded", "process", "%q is not poisson, uniform or recorded", cfg.Process)
 	checker.Must((cfg.Process == "recorded") == (cfg.Record != ""), "record", "must be set if process is recorded, and only then")
 	checker.Must(cfg.Burst.Every == 0 || cfg.Burst.Every > 0 && cfg.Burst.For > 0 && cfg.Burst.For <= cfg.Burst.Every && cfg.Burst.Times > 0, "burst", "every, for and times must be set together, and for must not exceed every")
-	checker.Must(len(cfg.Classes) > 0 && len(cfg.Classes) < 100, "classes", "%d classes, out of range [1, 99]", len(cfg.Classes))
+	checker.Must(len(cfg.Classes) > 0 && len(cfg.Classes) < 100, "classes", "%d classes: the number is not in the range of 1 to 99", len(cfg.Classes))
 	for i, x := range cfg.Classes {
 		key := func(k string) string { return fmt.Sprintf("classes[%d].%s", i, k) }
-		checker.Must(x.Share > 0, key("share"), "%v must be above 0", x.Share)
+		checker.Must(x.Share > 0, key("share"), "%v is not above 0", x.Share)
 		checker.Must(x.Category >= 0 && x.Category < 256, key("category"), "%d is not a calling party's category (0 to 255)", x.Category)
-		checker.Must(x.Hold > 0, key("hold"), "%v must be above 0", x.Hold)
-		checker.Must(x.Patience > 0, key("patience"), "%v must be above 0", x.Patience)
-		checker.Must(x.Ring >= 0 && x.Ring <= 10*time.Minute, key("ring"), "%v out of range [0, 10m]", x.Ring)
+		checker.Must(x.Hold > 0, key("hold"), "%v is not above 0", x.Hold)
+		checker.Must(x.Patience > 0, key("patience"), "%v is not above 0", x.Patience)
+		checker.Must(x.Ring >= 0 && x.Ring <= 10*time.Minute, key("ring"), "%v is not in the range of 0 to 10m", x.Ring)
 		if x.Ring == 0 {
 			cfg.Classes[i].Ring = time.Minute
 		}
@@ -108,10 +108,10 @@
 	checker.Must(len(cfg.Numbers) > 0 || cfg.Record != "", "numbers", "is missing: at least one entry of called numbers is needed")
 	for i, x := range cfg.Numbers {
 		key := fmt.Sprintf("numbers[%d]", i)
-		checker.Must(x.Share > 0, key+".share", "%v must be above 0", x.Share)
-		checker.Must(x.Length >= len(x.Prefix) && x.Length >= 1 && x.Length <= 24, key+".length", "%d out of range: the prefix has %d digits and a number at most 24", x.Length, len(x.Prefix))
+		checker.Must(x.Share > 0, key+".share", "%v is not above 0", x.Share)
+		checker.Must(x.Length >= len(x.Prefix) && x.Length >= 1 && x.Length <= 24, key+".length", "%d is not in the range of 1 to 24, or is less than the %d digits of the prefix", x.Length, len(x.Prefix))
 	}
-	checker.Must(cfg.Redials >= 0 && cfg.Redials <= 20, "redials", "%d out of range [0, 20]", cfg.Redials)
+	checker.Must(cfg.Redials >= 0 && cfg.Redials <= 20, "redials", "%d is not in the range of 0 to 20", cfg.Redials)
 	return &cfg, checker.Err()
 }
 
