--- a/bench/bench.go
+++ b/bench/bench.go
@@ -1,6 +1,6 @@
-// Package bench measures the full path of a call on loopback sockets, with a running controller and, for comparison, with a bare
-// relay, which passes the same frames over the same sockets without a call table and without decisions. Controller and relay run
-// as processes of their own; the client and the switches are simple responders in this process.
+// Package bench measures calls on loopback sockets from end to end, through a running controller and, for comparison, through a
+// bare relay, which passes the same frames over the same sockets without a call table and without decisions. Controller and relay
+// run as processes of their own; the client and the switches are simple responders in this process.
 package bench
 
 import (
@@ -48,7 +48,7 @@
 	DelayMicros    [4]float64 `json:"delay_us_p50_p99_p999_max"` // from IAM sent by the client to IAM received by the switch
 	CPUPerCall     float64    `json:"cpu_us_per_call"`
 	RSSMiB         float64    `json:"rss_mib"`
-	Out            float64    `json:"out"` // controller only: mean number of calls pending, not answered yet
+	Out            float64    `json:"out"` // controller only: mean number of pending calls
 }
 
 // Result is the result of one run.
@@ -184,7 +184,7 @@
 		return figures, err
 	}
 	defer client.conn.Close()
-	if _, _, err := client.closedLoop(options.Window, options.WarmUp); err != nil { // windows grow, and circuit states are synchronised
+	if _, _, err := client.closedLoop(options.Window, options.WarmUp); err != nil { // warm-up: windows grow, and circuit states are synchronised
 		return figures, err
 	}
 	cpu := cpuTime(cmd.Process.Pid)
--- a/bench/open.go
+++ b/bench/open.go
@@ -46,7 +46,7 @@
 // openHoldTime is the mean holding time of calls.
 const openHoldTime = 200 * time.Millisecond
 
-// OpenTable returns the cases of a user's first trial: three far exchanges at light load.
+// OpenTable returns cases of light load on three far exchanges, without faults and with call faults, as a new user would try them.
 func OpenTable(span time.Duration) []OpenCase {
 	newCase := func(name string, rate float64, ring time.Duration, callFaults switchset.CallFaults) OpenCase {
 		openCase := OpenCase{Name: name, FarExchanges: 3, Rate: rate, Answer: 20 * time.Millisecond, Ring: ring, CallFaults: callFaults, Span: span}
--- a/capture/capture.go
+++ b/capture/capture.go
@@ -34,7 +34,7 @@
 	Data     []byte
 }
 
-// Writer writes frames in the background, without blocking those who put them in.
+// Writer writes frames in the background, so that Put does not block.
 type Writer struct {
 	cfg     Config
 	queue   chan Frame
@@ -42,7 +42,7 @@
 	written atomic.Uint64
 }
 
-// New creates a Writer; Run does the writing.
+// New creates a Writer and its directory; Run writes the frames.
 func New(cfg Config) (*Writer, error) {
 	if cfg.Bytes < 1<<12 || cfg.Files < 1 || cfg.Queue < 1 {
 		return nil, errors.New("capture: file size must be at least 4096 octets, number of files and queue at least 1")
@@ -80,7 +80,7 @@
 // Run writes frames until ctx is done, and then the frames still in the queue. A write error ends it; the daemon continues
 // without the capture.
 func (w *Writer) Run(ctx context.Context) error {
-	f := &fileRing{w: w, lastTSN: map[[2]netip.AddrPort]uint32{}}
+	f := &fileRing{writer: w, lastTSN: map[[2]netip.AddrPort]uint32{}}
 	defer f.close()
 	flush := time.NewTicker(time.Second)
 	defer flush.Stop()
@@ -114,8 +114,8 @@
 
 // fileRing writes to the newest file of the capture and removes the oldest.
 type fileRing struct {
-	w        *Writer
-	f        *os.File
+	writer   *Writer
+	file     *os.File
 	pcap     *pcapgo.NgWriter
 	sequence int
 	size     int
@@ -125,11 +125,11 @@
 }
 
 func (f *fileRing) close() error {
-	if f.f == nil {
+	if f.file == nil {
 		return nil
 	}
-	err := errors.Join(f.pcap.Flush(), f.f.Close())
-	f.f, f.pcap = nil, nil
+	err := errors.Join(f.pcap.Flush(), f.file.Close())
+	f.file, f.pcap = nil, nil
 	return err
 }
 
@@ -139,17 +139,17 @@
 		return err
 	}
 	f.sequence++
-	name := filepath.Join(f.w.cfg.Dir, fmt.Sprintf("umbergauge-%06d.pcapng", f.sequence))
+	name := filepath.Join(f.writer.cfg.Dir, fmt.Sprintf("umbergauge-%06d.pcapng", f.sequence))
 	var err error
-	if f.f, err = os.Create(name); err != nil {
+	if f.file, err = os.Create(name); err != nil {
 		return err
 	}
-	if f.pcap, err = pcapgo.NewNgWriter(f.f, layers.LinkTypeRaw); err != nil {
+	if f.pcap, err = pcapgo.NewNgWriter(f.file, layers.LinkTypeRaw); err != nil {
 		return err
 	}
 	f.size = 0
 	f.names = append(f.names, name)
-	if len(f.names) > f.w.cfg.Files {
+	if len(f.names) > f.writer.cfg.Files {
 		os.Remove(f.names[0])
 		f.names = f.names[1:]
 	}
@@ -161,7 +161,7 @@
 
 // put writes one frame as an SCTP packet.
 func (f *fileRing) put(frame Frame) error {
-	if f.pcap == nil || f.size >= f.w.cfg.Bytes {
+	if f.pcap == nil || f.size >= f.writer.cfg.Bytes {
 		if err := f.open(); err != nil {
 			return err
 		}
@@ -192,18 +192,18 @@
 		return err
 	}
 	f.size += len(b) + 32
-	f.w.written.Add(1)
+	f.writer.written.Add(1)
 	return nil
 }
 
-// verificationTag returns the part of one end in the verification tag of an association. The tag is the exclusive or of both
-// parts, and so the same in both directions.
+// verificationTag returns one end's part of an association's verification tag. The tag is the exclusive or of the parts of both
+// ends, so it is the same in both directions.
 func verificationTag(addr netip.AddrPort) uint32 {
 	octets := addr.Addr().As16()
 	return uint32(octets[12])<<24 | uint32(octets[15])<<16 | uint32(addr.Port())
 }
 
-// Read passes every frame of a file to handle, in order. From a truncated file it reads the frames that are whole, and returns
+// Read passes every frame of a file to handle, in order. From a truncated file it reads all complete frames, and then returns
 // io.ErrUnexpectedEOF or another error of the reader.
 func Read(name string, handle func(Frame) error) error {
 	f, err := os.Open(name)
--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Guards against a panic or lost frames when a file was truncated by a crash: wherever it ends, all whole frames must be read.
-func TestTruncatedFileYieldsItsWholeFrames(t *testing.T) {
+// Guards against a panic or lost frames when a file was truncated by a crash: wherever it ends, all complete frames must be read.
+func TestTruncatedFileYieldsItsCompleteFrames(t *testing.T) {
 	dir := t.TempDir()
 	writeFrames(t, Config{dir, 1 << 20, 1, 100}, 20)
 	content, err := os.ReadFile(captureFiles(t, dir)[0])
@@ -141,7 +141,7 @@
 	}
 }
 
-// Guards against a capture that starts with limits too small or a directory that cannot be created.
+// Guards against a capture that starts although its limits are too small or its directory cannot be created.
 func TestNewRejectsInvalidConfig(t *testing.T) {
 	if _, err := New(Config{t.TempDir(), 10, 1, 1}); err == nil {
 		t.Error("a file size of 10 octets was accepted")
--- a/emulator/client.go
+++ b/emulator/client.go
@@ -40,13 +40,13 @@
 	wg     sync.WaitGroup
 
 	// The fields below are used only by the event loop.
-	rng          *rand.Rand
-	association  *association
-	calls        map[uint16]*clientCall
-	nextCIC      uint16
-	nextRef      uint32
-	callsStopped bool
-	Counts       ClientCounts
+	rng           *rand.Rand
+	association   *association
+	calls         map[uint16]*clientCall
+	lastCIC       uint16
+	lastReference uint32
+	callsStopped  bool
+	Counts        ClientCounts
 }
 
 // ClientCounts are the call counters of a client.
@@ -248,9 +248,9 @@
 	}
 	cic := uint16(0)
 	for range isup.MaxCIC {
-		c.nextCIC = c.nextCIC%isup.MaxCIC + 1
-		if c.calls[c.nextCIC] == nil {
-			cic = c.nextCIC
+		c.lastCIC = c.lastCIC%isup.MaxCIC + 1
+		if c.calls[c.lastCIC] == nil {
+			cic = c.lastCIC
 			break
 		}
 	}
@@ -266,12 +266,12 @@
 	if err != nil {
 		panic(fmt.Sprintf("emulator: invalid calling number %q", call.Calling))
 	}
-	c.nextRef++
+	c.lastReference++
 	newCall := &clientCall{Call: call, cic: cic}
 	c.calls[cic] = newCall
 	c.Counts.Tries++
 	c.send(&isup.Message{Type: isup.IAM, CIC: cic, Category: call.Category, TransmissionMedium: 3, ForwardIndicators: 0x2060, Called: called, HasCalling: true, Calling: calling,
-		HasRef: true, Ref: isup.CallReference{ID: c.nextRef, PC: uint16(c.cfg.PC)}})
+		HasRef: true, Ref: isup.CallReference{ID: c.lastReference, PC: uint16(c.cfg.PC)}})
 	newCall.timer = time.AfterFunc(call.Patience, func() {
 		c.post(func() {
 			if c.calls[cic] == newCall && newCall.state == clientCallPending && !newCall.alerted {
--- a/emulator/network.go
+++ b/emulator/network.go
@@ -15,7 +15,7 @@
 	"github.com/umbergauge/umbergauge/record"
 )
 
-// Network emulates the signalling network between exchanges: its delays and its cut paths. Frames on a cut path are held back
+// Network emulates the signalling network between exchanges, with delays and cut paths. Frames on a cut path are held back
 // until the path is restored, as with a transport that retransmits lost data.
 type Network struct {
 	Listen func(addr string) (net.Listener, error)
@@ -47,8 +47,8 @@
 	n.mu.Unlock()
 }
 
-// Cut cuts the path between two exchanges in both directions, or restores it. Cuts are counted: as many calls with on set to
-// false restore the path.
+// Cut cuts the path between two exchanges in both directions (on is true), or removes one cut. Cuts are counted: the path is
+// restored when all of them have been removed.
 func (n *Network) Cut(a, b uint32, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -223,7 +223,7 @@
 	for {
 		frame, err := scanner.Next()
 		if err != nil {
-			a.recordClosed() // now, because frames on a cut path may be held back for long
+			a.recordClosed() // recorded here, because handling may last as long as a path is cut
 			return
 		}
 		a.mu.Lock()
--- a/emulator/processor.go
+++ b/emulator/processor.go
@@ -12,10 +12,9 @@
 	timer          *time.Timer
 	busy           bool
 	hung           bool
-	// instant: jobs take no time and are done as they arrive.
-	instant  bool
-	slowdown float64 // factor by which each job takes longer
-	current  job
+	instant        bool    // jobs take no time and are done when they arrive
+	slowdown       float64 // factor by which each job takes longer
+	current        job
 }
 
 // job is a unit of work for the processor.
@@ -90,7 +89,7 @@
 	p.startNext()
 }
 
-// setHung stops the processor before its next job, or lets it continue.
+// setHung stops the processor before its next job (on is true), or lets it continue.
 func (p *processor) setHung(on bool) {
 	p.hung = on
 	p.startNext()
--- a/emulator/subscriber.go
+++ b/emulator/subscriber.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Ringing describes how the called numbers of a class respond to calls.
+// Ringing describes how called subscribers respond to calls of one calling party's category.
 type Ringing struct {
 	Median   time.Duration `yaml:"median"`    // time from ACM to ANM; 0: calls are answered at once
 	Spread   float64       `yaml:"spread"`    // sigma of the log-normal distribution of that time; 0: always the median
@@ -15,7 +15,7 @@
 	Busy     float64       `yaml:"busy"`      // share of calls that find the subscriber busy
 }
 
-// Check returns an error for a value out of range.
+// Check returns an error if a value is not in its range.
 func (r Ringing) Check() error {
 	switch {
 	case r.Median < 0 || r.Median > 5*time.Minute:
--- a/emulator/switch.go
+++ b/emulator/switch.go
@@ -37,7 +37,7 @@
 	Lines         map[string]int // limit of lines in use, by number
 
 	ColdShare     float64       // share of the capacity available right after a cold start
-	WarmUp        time.Duration // time over which the capacity grows linearly to the whole
+	WarmUp        time.Duration // time over which the capacity grows linearly to its full value
 	CrashMultiple float64       // a cold switch crashes when it receives more than this multiple of its current capacity; 0: never
 	CrashSpan     time.Duration // span over which those set-ups are counted
 }
@@ -60,8 +60,8 @@
 	started         time.Time
 	crashed         bool                    // crashed by load after a cold start; it cannot be started again
 	generation      int                     // changes at each start and stop, which invalidates pending timers
-	assocs          map[uint32]*association // by exchange of the controller
-	ownAssoc        *association            // to the controller of its own exchange
+	associations    map[uint32]*association // by exchange of the controller
+	ownAssociation  *association            // to the controller of the switch's own exchange
 	calls           map[circuitKey]*switchCall
 	linesInUse      map[string]int       // by called number
 	exchangeStatus  map[uint32]m3ua.Kind // last status of other exchanges sent with SendStatus, for answers to DAUD
@@ -82,7 +82,7 @@
 
 const (
 	switchCallQueued     switchCallState = iota // the set-up waits for the processor
-	switchCallProceeding                        // the set-up has reached the subscriber, or was passed to the own controller for transit
+	switchCallProceeding                        // the set-up has reached the subscriber or, in transit, this exchange's controller
 	switchCallAnswered
 	switchCallReleasing // REL sent, RLC awaited
 )
@@ -93,7 +93,7 @@
 	iam          isup.Message
 	state        switchCallState
 	cleared      bool // released by its caller, or dropped
-	awaitsOwnRLC bool // the caller's REL was passed to the own controller, whose RLC has not arrived yet
+	awaitsOwnRLC bool // the caller's REL was passed to this exchange's controller, whose RLC has not arrived yet
 	transit      bool
 	calledNumber string
 }
@@ -101,7 +101,7 @@
 // NewSwitch creates a switch, which takes calls after Start.
 func NewSwitch(n *Network, cfg SwitchConfig) *Switch {
 	s := &Switch{cfg: cfg, net: n, events: make(chan func(), 4096), quit: make(chan struct{}),
-		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.PC))), proc: newProcessor(cfg.AnswersFirst), assocs: map[uint32]*association{},
+		rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.PC))), proc: newProcessor(cfg.AnswersFirst), associations: map[uint32]*association{},
 		calls: map[circuitKey]*switchCall{}, linesInUse: map[string]int{}, exchangeStatus: map[uint32]m3ua.Kind{}, lostCircuits: map[uint32][]uint16{}}
 	s.proc.instant = cfg.Rate <= 0
 	s.wg.Add(1)
@@ -181,11 +181,11 @@
 	s.up = false
 	s.generation++
 	s.listener.Close()
-	for _, assoc := range s.assocs {
+	for _, assoc := range s.associations {
 		assoc.close()
 	}
-	clear(s.assocs)
-	s.ownAssoc = nil
+	clear(s.associations)
+	s.ownAssociation = nil
 	clear(s.calls)
 	clear(s.linesInUse)
 	s.recentSetUps = nil
@@ -206,18 +206,19 @@
 // ResetAssociations closes every connection; the switch stays in service and keeps its calls.
 func (s *Switch) ResetAssociations() {
 	s.post(func() {
-		for _, assoc := range s.assocs {
+		for _, assoc := range s.associations {
 			assoc.close()
 		}
 	})
 }
 
-// SendStatus notifies the own controller of the status of an exchange: DAVA, DRST or DUNA. DAUD is answered with it later.
+// SendStatus notifies this exchange's controller of the status of another exchange: DAVA, DRST or DUNA. A later DAUD for that
+// exchange is answered with the same status.
 func (s *Switch) SendStatus(kind m3ua.Kind, pc uint32) {
 	s.post(func() {
 		s.exchangeStatus[pc] = kind
-		if s.up && s.ownAssoc != nil {
-			s.ownAssoc.sendMessage(&m3ua.Message{Kind: kind, Affected: []m3ua.Affected{{PC: pc}}})
+		if s.up && s.ownAssociation != nil {
+			s.ownAssociation.sendMessage(&m3ua.Message{Kind: kind, Affected: []m3ua.Affected{{PC: pc}}})
 		}
 	})
 }
@@ -247,7 +248,7 @@
 
 // sendGroupSupervision sends CGB (blocked) or CGU for hardware failure to the far controller.
 func (s *Switch) sendGroupSupervision(far uint32, cics []uint16, blocked bool) {
-	assoc := s.assocs[far]
+	assoc := s.associations[far]
 	if assoc == nil || len(cics) < 2 {
 		return
 	}
@@ -381,7 +382,7 @@
 // serve runs the signalling gateway side of the association with one controller until the connection ends.
 func (s *Switch) serve(conn net.Conn) {
 	defer s.wg.Done()
-	// Until its ASPAC the controller's exchange is not known; the path within the own exchange is used.
+	// The controller's exchange is not known before its ASPAC. Until then the path within this exchange is used.
 	assoc := newAssociation(s.net, conn, s.cfg.PC, s.cfg.PC)
 	defer assoc.close()
 	stop := make(chan struct{})
@@ -430,10 +431,10 @@
 		return true
 	})
 	s.post(func() {
-		if s.assocs[pc] == assoc {
-			delete(s.assocs, pc)
-			if s.ownAssoc == assoc {
-				s.ownAssoc = nil
+		if s.associations[pc] == assoc {
+			delete(s.associations, pc)
+			if s.ownAssociation == assoc {
+				s.ownAssociation = nil
 			}
 		}
 	})
@@ -445,12 +446,12 @@
 		assoc.close()
 		return
 	}
-	if previous := s.assocs[pc]; previous != nil && previous != assoc {
+	if previous := s.associations[pc]; previous != nil && previous != assoc {
 		previous.close()
 	}
-	s.assocs[pc] = assoc
+	s.associations[pc] = assoc
 	if pc == s.cfg.PC {
-		s.ownAssoc = assoc
+		s.ownAssociation = assoc
 	} else if lostCircuits := s.lostCircuits[pc]; len(lostCircuits) > 0 {
 		s.sendGroupSupervision(pc, lostCircuits, true)
 	}
@@ -459,7 +460,7 @@
 // handleFrame handles a DATA or DAUD frame of a controller.
 func (s *Switch) handleFrame(pc uint32, assoc *association, frame []byte) {
 	var msg m3ua.Message
-	if !s.up || s.assocs[pc] != assoc || m3ua.Decode(frame, &msg) != nil {
+	if !s.up || s.associations[pc] != assoc || m3ua.Decode(frame, &msg) != nil {
 		return
 	}
 	if msg.Kind == m3ua.DAUD {
@@ -483,16 +484,16 @@
 	}
 }
 
-// sendToOwn sends a message about a circuit to the own controller, with the far exchange as its origin.
+// sendToOwn sends a message about a circuit to this exchange's controller, with the far exchange as its origin.
 func (s *Switch) sendToOwn(far uint32, msg *isup.Message) {
-	if s.ownAssoc != nil {
-		s.ownAssoc.sendISUP(far, s.cfg.PC, msg)
+	if s.ownAssociation != nil {
+		s.ownAssociation.sendISUP(far, s.cfg.PC, msg)
 	}
 }
 
 // sendToFar sends a message about a circuit to the controller of the far exchange.
 func (s *Switch) sendToFar(far uint32, msg *isup.Message) {
-	if assoc := s.assocs[far]; assoc != nil {
+	if assoc := s.associations[far]; assoc != nil {
 		assoc.sendISUP(s.cfg.PC, far, msg)
 	}
 }
@@ -513,12 +514,12 @@
 	return c
 }
 
-// handleFromFar handles a message of another exchange's controller.
+// handleFromFar handles a message of the controller of another exchange (the far one).
 func (s *Switch) handleFromFar(far uint32, assoc *association, msg *isup.Message) {
 	key := circuitKey{far, msg.CIC}
 	switch msg.Type {
 	case isup.IAM:
-		s.iam(key, msg)
+		s.handleIAM(key, msg)
 	case isup.REL:
 		call := s.calls[key]
 		if call == nil {
@@ -530,7 +531,7 @@
 		s.proc.add(job{workTime: s.workTime(s.cfg.FollowWork), done: func() {
 			if s.calls[key] == call {
 				s.sendToOwn(far, &rel)
-				if call.transit && call.state != switchCallQueued && s.ownAssoc != nil { // RLC is sent when the own controller has released its part of the call too
+				if call.transit && call.state != switchCallQueued && s.ownAssociation != nil { // RLC is sent after this exchange's controller has released its part of the call
 					call.awaitsOwnRLC = true
 					s.after(4*time.Second, func() { s.finishTransitRelease(call) })
 					return
@@ -582,8 +583,8 @@
 	return &isup.Message{Type: isup.CQR, CIC: query.CIC, Range: query.Range, Circuits: states}
 }
 
-// iam handles a new set-up.
-func (s *Switch) iam(key circuitKey, msg *isup.Message) {
+// handleIAM handles a new set-up.
+func (s *Switch) handleIAM(key circuitKey, msg *isup.Message) {
 	if int(key.cic) > s.cfg.Circuits[key.far] || key.cic == 0 || slices.Contains(s.lostCircuits[key.far], key.cic) {
 		s.sendToFar(key.far, &isup.Message{Type: isup.REL, CIC: key.cic, Cause: isup.CauseCircuitNotAvailable, Location: isup.LocationNetwork})
 		return
@@ -599,7 +600,7 @@
 	if s.cold && s.capacityShare() < 1 && s.crashedByLoad() {
 		return
 	}
-	if !call.transit { // the own controller must see the circuit as seized at once
+	if !call.transit { // this exchange's controller must learn at once that the circuit is seized
 		s.sendToOwn(key.far, msg)
 	}
 	location := isup.LocationNetwork
@@ -664,11 +665,11 @@
 	return false
 }
 
-// setUp completes the set-up of a call whose work is done: to a subscriber or, for transit, to the own controller.
+// setUp completes the set-up of a call whose work is done: to a subscriber or, for transit, to this exchange's controller.
 func (s *Switch) setUp(call *switchCall) {
 	call.state = switchCallProceeding
 	if call.transit {
-		if s.ownAssoc == nil {
+		if s.ownAssociation == nil {
 			s.releaseAt(call, isup.CauseDestinationOutOfOrder, isup.LocationTransit)
 			return
 		}
@@ -744,7 +745,8 @@
 	})
 }
 
-// finishTransitRelease ends a call in transit that its caller has released, after the own controller's RLC or 4 s without it.
+// finishTransitRelease ends a call in transit that its caller has released. It is called for the RLC of this exchange's
+// controller, and after 4 s without one.
 func (s *Switch) finishTransitRelease(call *switchCall) {
 	if s.calls[call.key] == call && call.awaitsOwnRLC {
 		s.dropCall(call.key)
@@ -769,13 +771,13 @@
 	}
 }
 
-// handleFromOwn handles a message of the own controller about an incoming call; messages about calls in transit are passed to
-// the far exchange.
+// handleFromOwn handles a message of this exchange's controller about an incoming call; messages about calls in transit are
+// passed to the far exchange.
 func (s *Switch) handleFromOwn(far uint32, msg *isup.Message) {
 	key := circuitKey{far, msg.CIC}
 	call := s.calls[key]
 	switch msg.Type {
-	case isup.RSC: // dual seizure: the own controller drops the incoming call
+	case isup.RSC: // dual seizure: this exchange's controller drops the incoming call
 		s.dropCall(key)
 		s.sendToOwn(far, &isup.Message{Type: isup.RLC, CIC: msg.CIC})
 	case isup.CQM:
--- a/emulator/switchset/switchset.go
+++ b/emulator/switchset/switchset.go
@@ -1,4 +1,4 @@
-// Package switchset runs emulated switches configured in a YAML file, so that a controller can be tried without a network.
+// Package switchset runs emulated switches that a YAML file configures, so that a controller can be tried without real switches.
 package switchset
 
 import (
@@ -59,7 +59,7 @@
 // Default returns the values of the keys that a file may leave out.
 func Default() Config { return Config{Seed: 1} }
 
-// Load reads and checks a file. The error is a config.Faults, or the error of reading the file.
+// Load reads and checks a file. The error is of type config.FileErrors, or that of reading the file.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -68,50 +68,50 @@
 	return Parse(path, data)
 }
 
-// Parse reads and checks the content of a file; errors name the file by name.
+// Parse parses and checks the content of a file; its errors show name as the file.
 func Parse(name string, data []byte) (*Config, error) {
 	cfg := Default()
 	if err := config.Decode(name, data, &cfg); err != nil {
 		return nil, err
 	}
-	v := config.NewChecker(name, data)
-	v.Must(cfg.Delay >= 0 && cfg.Delay <= 10*time.Second, "delay", "%v is not in the range of 0 to 10s", cfg.Delay)
-	v.Must(len(cfg.Switches) > 0, "switches", "is missing: at least one switch is needed")
+	checker := config.NewChecker(name, data)
+	checker.Must(cfg.Delay >= 0 && cfg.Delay <= 10*time.Second, "delay", "%v is not in the range of 0 to 10s", cfg.Delay)
+	checker.Must(len(cfg.Switches) > 0, "switches", "is missing: at least one switch is needed")
 	seen := map[uint32]bool{}
 	for i, sw := range cfg.Switches {
 		key := func(k string) string { return fmt.Sprintf("switches[%d].%s", i, k) }
-		v.Must(sw.PointCode > 0 && sw.PointCode <= 1<<14-1 && !seen[sw.PointCode], key("point_code"), "%d is not in the range of 1 to 16383, or is given twice", sw.PointCode)
+		checker.Must(sw.PointCode > 0 && sw.PointCode <= 1<<14-1 && !seen[sw.PointCode], key("point_code"), "%d is not in the range of 1 to 16383, or is given twice", sw.PointCode)
 		seen[sw.PointCode] = true
-		v.Address(key("listen"), sw.Listen)
+		checker.Address(key("listen"), sw.Listen)
 		for far, n := range sw.Circuits {
-			v.Must(n >= 0 && n <= isup.MaxCIC && far != sw.PointCode, key("circuits"), "%d circuits to exchange %d: the number is not in the range of 0 to %d, or the exchange is that of this switch", n, far, isup.MaxCIC)
+			checker.Must(n >= 0 && n <= isup.MaxCIC && far != sw.PointCode, key("circuits"), "%d circuits to exchange %d: the number is not in the range of 0 to %d, or the exchange is that of this switch", n, far, isup.MaxCIC)
 		}
-		v.Must(sw.Rate >= 0 && sw.Rate <= 1e6, key("rate"), "%v is not in the range of 0 to 1000000", sw.Rate)
-		v.Must(sw.FullAfter >= 0 && sw.Hold >= 0, key("full_after"), "full_after and hold must not be negative")
+		checker.Must(sw.Rate >= 0 && sw.Rate <= 1e6, key("rate"), "%v is not in the range of 0 to 1000000", sw.Rate)
+		checker.Must(sw.FullAfter >= 0 && sw.Hold >= 0, key("full_after"), "full_after and hold must not be negative")
 		for _, setting := range []struct {
-			key string
-			v   float64
+			key   string
+			value float64
 		}{{"follow_work", sw.FollowWork}, {"reject_work", sw.RejectWork}} {
-			v.Must(setting.v >= 0 && setting.v <= 10, key(setting.key), "%v is not in the range of 0 to 10", setting.v)
+			checker.Must(setting.value >= 0 && setting.value <= 10, key(setting.key), "%v is not in the range of 0 to 10", setting.value)
 		}
 		sum := 0.0
 		for _, setting := range []struct {
-			key string
-			v   float64
+			key   string
+			value float64
 		}{{"hang_up", sw.HangUp}, {"thin.full", sw.CallFaults.Full}, {"thin.silent", sw.CallFaults.Silent}, {"thin.reset", sw.CallFaults.Reset}, {"thin.failed", sw.CallFaults.Failed}} {
-			v.Must(setting.v >= 0 && setting.v <= 1, key(setting.key), "%v is not in the range of 0 to 1", setting.v)
-			sum += setting.v
+			checker.Must(setting.value >= 0 && setting.value <= 1, key(setting.key), "%v is not in the range of 0 to 1", setting.value)
+			sum += setting.value
 		}
-		v.Must(sum-sw.HangUp <= 1, key("thin"), "the shares add up to %.2f, more than 1", sum-sw.HangUp)
+		checker.Must(sum-sw.HangUp <= 1, key("thin"), "the shares add up to %.2f, more than 1", sum-sw.HangUp)
 	}
 	for i, r := range cfg.Ringing {
 		key := fmt.Sprintf("ringing[%d]", i)
-		v.Must(r.Category >= 0 && r.Category < 256, key+".category", "%d is not a calling party's category (0 to 255)", r.Category)
+		checker.Must(r.Category >= 0 && r.Category < 256, key+".category", "%d is not a calling party's category (0 to 255)", r.Category)
 		if err := r.Check(); err != nil {
-			v.Errorf(key, "%v", err)
+			checker.Errorf(key, "%v", err)
 		}
 	}
-	return &cfg, v.Err()
+	return &cfg, checker.Err()
 }
 
 // Set is a running set of switches.
--- a/emulator/switchset/switchset_test.go
+++ b/emulator/switchset/switchset_test.go
@@ -9,7 +9,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const good = `seed: 3
+const validSwitches = `seed: 3
 delay: 1ms
 switches:
   - {point_code: 101, listen: "127.0.0.1:0", prefixes: ["8201"], circuits: {102: 5}}
@@ -18,10 +18,10 @@
   - {category: 10, median: 3s, spread: 0.5, no_answer: 0.03, busy: 0.01}
 `
 
-// Guards against a set that does not start or stop whole: Start must report an address in use with the switch that wanted it,
-// and leave no goroutine behind (TestMain checks).
+// Guards against a failed Start that leaves some switches running: if an address is in use, Start must name the switch configured
+// with it and leave no goroutine behind (TestMain checks this).
 func TestStartReportsAddressInUseAndLeavesNoGoroutine(t *testing.T) {
-	c, err := Parse("s.yaml", []byte(good))
+	c, err := Parse("s.yaml", []byte(validSwitches))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,12 +36,12 @@
 	taken.Switches = append([]Switch(nil), c.Switches...)
 	taken.Switches[1].Listen = s.Addrs[101]
 	if _, err := Start(&taken); err == nil || !strings.Contains(err.Error(), "switch 102") {
-		t.Errorf("start on an address in use: error %v, want one that names switch 102", err)
+		t.Errorf("start at an address in use: error %v, want one that names switch 102", err)
 	}
 	s.Close()
 }
 
-// Guards against a wrong value that passes the check of a file, or is reported without its key and place.
+// Guards against an invalid value that is accepted, or reported without its key and position.
 func TestParseReportsKeyOfInvalidValue(t *testing.T) {
 	for what, change := range map[string][2]string{
 		"s.yaml:4:31: switches[0].listen": {`"127.0.0.1:0", prefixes: ["8201"]`, `"127.0.0.1:70000", prefixes: ["8201"]`},
@@ -53,8 +53,8 @@
 		"delay":                           {"delay: 1ms", "delay: -1ms"},
 		"switches[1].thin.silent: 1.5 is not in the range of 0 to 1": {"silent: 0.5", "silent: 1.5"},
 	} {
-		text := strings.Replace(good, change[0], change[1], 1)
-		if text == good {
+		text := strings.Replace(validSwitches, change[0], change[1], 1)
+		if text == validSwitches {
 			t.Fatalf("text to replace %q is not in the file", change[0])
 		}
 		if _, err := Parse("s.yaml", []byte(text)); err == nil || !strings.Contains(err.Error(), what) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -28,7 +28,7 @@
 
 // Config is a settings file. docs/operations/settings.md documents the keys for operators.
 type Config struct {
-	Exchange uint32 `yaml:"exchange"` // own point code
+	Exchange uint32 `yaml:"exchange"` // point code of the controller's own exchange
 	Network  byte   `yaml:"network_indicator"`
 	Listen   string `yaml:"listen"`
 	Control  string `yaml:"control"`
@@ -90,7 +90,8 @@
 	Categories []int         `yaml:"categories"` // calling party's categories of the class
 }
 
-// Tenant is a customer. Quota is its share of the calls in calls per second, over all controllers; 0: unlimited.
+// Tenant is a customer. Quota is the rate of its calls, in calls per second over all controllers, that have their full worth
+// (see OverQuotaWorth); 0: unlimited.
 type Tenant struct {
 	Name  string  `yaml:"name"`
 	Quota float64 `yaml:"quota"`
@@ -118,7 +119,7 @@
 	return c.ASP == id
 }
 
-// Exchange is an exchange of the network; the own one is listed as well.
+// Exchange is an exchange of the network. The controller's own exchange is listed too.
 type Exchange struct {
 	PointCode uint32   `yaml:"point_code"`
 	Name      string   `yaml:"name"`
@@ -239,9 +240,9 @@
 	if err := Decode(name, content, &c); err != nil {
 		return nil, err
 	}
-	v := NewChecker(name, content)
-	c.check(v)
-	return &c, v.Err()
+	checker := NewChecker(name, content)
+	c.check(checker)
+	return &c, checker.Err()
 }
 
 // Decode decodes YAML into v and rejects unknown keys. The error is of type FileErrors.
@@ -352,96 +353,96 @@
 	}
 }
 
-func (c *Config) check(v *Checker) {
-	v.Must(c.Exchange > 0 && c.Exchange <= maxPointCode, "exchange", "this controller's point code is not in the range of 1 to %d", maxPointCode)
-	v.Must(c.Network <= 3, "network_indicator", "%d is not in the range of 0 to 3", c.Network)
+func (c *Config) check(checker *Checker) {
+	checker.Must(c.Exchange > 0 && c.Exchange <= maxPointCode, "exchange", "this controller's point code is not in the range of 1 to %d", maxPointCode)
+	checker.Must(c.Network <= 3, "network_indicator", "%d is not in the range of 0 to 3", c.Network)
 	if c.Listen == "" {
-		v.Errorf("listen", "is missing: the address on which clients connect")
+		checker.Errorf("listen", "is missing: the address on which clients connect")
 	} else {
-		v.Address("listen", c.Listen)
+		checker.Address("listen", c.Listen)
 	}
 	for key, a := range map[string]string{"control": c.Control, "metrics": c.Metrics} {
 		if a != "" {
-			v.Address(key, a)
+			checker.Address(key, a)
 		}
 	}
-	v.Must(slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "log.level", "%q is not debug, info, warn or error", c.Log.Level)
-	v.Must(c.Log.Format == "json" || c.Log.Format == "console", "log.format", "%q is not json or console", c.Log.Format)
-	v.durationRange("guard", c.Guard, 0, time.Minute)
-	v.Must(c.MaxAttempts >= 1 && c.MaxAttempts <= 16, "max_attempts", "%d is not in the range of 1 to 16", c.MaxAttempts)
-	v.durationRange("repeat", c.RetransmitAfter, 0, time.Minute)
-	v.durationRange("answer_margin", c.AnswerMargin, 0, 10*time.Second)
-	v.durationRange("cut_memory", c.CutMemory, 0, time.Hour)
-	v.Must(c.Hops >= 1 && c.Hops <= 31, "hops", "%d is not in the range of 1 to 31", c.Hops)
-	v.durationRange("drain_limit", c.DrainLimit, 0, 24*time.Hour)
-	v.Must(c.OverQuotaWorth >= 0 && c.OverQuotaWorth <= 1, "over_quota_worth", "%v is not in the range of 0 to 1", c.OverQuotaWorth)
-	v.durationRange("cold.warm_up", c.ColdStart.WarmUp, 0, time.Hour)
-	v.Must(c.ColdStart.Share > 0 && c.ColdStart.Share <= 1, "cold.share", "%v is not above 0 and at most 1", c.ColdStart.Share)
-	v.Must(c.ColdStart.CrashMultiple >= 1, "cold.fall_multiple", "%v is less than 1", c.ColdStart.CrashMultiple)
-	v.durationRange("cold.fall_span", c.ColdStart.CrashSpan, 0, time.Minute)
-	v.durationRange("timers.t1", c.Timers.T1, 100*time.Millisecond, time.Minute)
-	v.durationRange("timers.t5", c.Timers.T5, c.Timers.T1, 15*time.Minute)
-	v.durationRange("timers.t7", c.Timers.T7, 100*time.Millisecond, time.Minute)
-	v.durationRange("timers.t9", c.Timers.T9, time.Second, 10*time.Minute)
-	v.durationRange("timers.t16", c.Timers.T16, 100*time.Millisecond, time.Minute)
-	v.durationRange("timers.t28", c.Timers.T28, 100*time.Millisecond, time.Minute)
-	v.durationRange("timers.signalling_hold", c.Timers.SignallingHold, 0, 10*time.Minute)
+	checker.Must(slices.Contains([]string{"debug", "info", "warn", "error"}, c.Log.Level), "log.level", "%q is not debug, info, warn or error", c.Log.Level)
+	checker.Must(c.Log.Format == "json" || c.Log.Format == "console", "log.format", "%q is not json or console", c.Log.Format)
+	checker.durationRange("guard", c.Guard, 0, time.Minute)
+	checker.Must(c.MaxAttempts >= 1 && c.MaxAttempts <= 16, "max_attempts", "%d is not in the range of 1 to 16", c.MaxAttempts)
+	checker.durationRange("repeat", c.RetransmitAfter, 0, time.Minute)
+	checker.durationRange("answer_margin", c.AnswerMargin, 0, 10*time.Second)
+	checker.durationRange("cut_memory", c.CutMemory, 0, time.Hour)
+	checker.Must(c.Hops >= 1 && c.Hops <= 31, "hops", "%d is not in the range of 1 to 31", c.Hops)
+	checker.durationRange("drain_limit", c.DrainLimit, 0, 24*time.Hour)
+	checker.Must(c.OverQuotaWorth >= 0 && c.OverQuotaWorth <= 1, "over_quota_worth", "%v is not in the range of 0 to 1", c.OverQuotaWorth)
+	checker.durationRange("cold.warm_up", c.ColdStart.WarmUp, 0, time.Hour)
+	checker.Must(c.ColdStart.Share > 0 && c.ColdStart.Share <= 1, "cold.share", "%v is not above 0 and at most 1", c.ColdStart.Share)
+	checker.Must(c.ColdStart.CrashMultiple >= 1, "cold.fall_multiple", "%v is less than 1", c.ColdStart.CrashMultiple)
+	checker.durationRange("cold.fall_span", c.ColdStart.CrashSpan, 0, time.Minute)
+	checker.durationRange("timers.t1", c.Timers.T1, 100*time.Millisecond, time.Minute)
+	checker.durationRange("timers.t5", c.Timers.T5, c.Timers.T1, 15*time.Minute)
+	checker.durationRange("timers.t7", c.Timers.T7, 100*time.Millisecond, time.Minute)
+	checker.durationRange("timers.t9", c.Timers.T9, time.Second, 10*time.Minute)
+	checker.durationRange("timers.t16", c.Timers.T16, 100*time.Millisecond, time.Minute)
+	checker.durationRange("timers.t28", c.Timers.T28, 100*time.Millisecond, time.Minute)
+	checker.durationRange("timers.signalling_hold", c.Timers.SignallingHold, 0, 10*time.Minute)
 	a := c.Association
-	v.durationRange("association.ack", a.Ack, 10*time.Millisecond, time.Minute)
-	v.Must(a.Tries >= 1 && a.Tries <= 100, "association.tries", "%d is not in the range of 1 to 100", a.Tries)
-	v.durationRange("association.beat", a.Beat, 10*time.Millisecond, 10*time.Minute)
-	v.durationRange("association.beat_limit", a.BeatLimit, a.Beat, time.Hour)
-	v.durationRange("association.dial_limit", a.DialLimit, 10*time.Millisecond, time.Minute)
-	v.durationRange("association.write_limit", a.WriteLimit, 10*time.Millisecond, time.Minute)
-	v.durationRange("association.backoff_min", a.BackoffMin, time.Millisecond, time.Minute)
-	v.durationRange("association.backoff_max", a.BackoffMax, a.BackoffMin, time.Hour)
-	v.durationRange("association.recovery", a.Recovery, 0, time.Minute)
-	v.Must(a.RecoveryQueue >= 0 && a.RecoveryQueue <= 64<<20, "association.recovery_queue", "%d octets is not in the range of 0 to 64 MiB", a.RecoveryQueue)
-	v.Must(a.Queue >= m3ua.MaxFrame, "association.queue", "%d octets cannot hold a frame of %d octets", a.Queue, m3ua.MaxFrame)
-	v.Must(c.Limits.Calls >= 1 && c.Limits.Calls <= 1<<30, "limits.calls", "%d is not in the range of 1 to 2^30", c.Limits.Calls)
-	v.Must(c.Limits.Clients >= 1, "limits.clients", "%d is less than 1", c.Limits.Clients)
-	v.Must(c.Limits.Events >= 1 && c.Limits.Events <= 1<<20, "limits.events", "%d is not in the range of 1 to 2^20", c.Limits.Events)
-	v.Must(c.Limits.HandshakeRate > 0, "limits.handshakes", "%v is not above 0", c.Limits.HandshakeRate)
+	checker.durationRange("association.ack", a.Ack, 10*time.Millisecond, time.Minute)
+	checker.Must(a.Tries >= 1 && a.Tries <= 100, "association.tries", "%d is not in the range of 1 to 100", a.Tries)
+	checker.durationRange("association.beat", a.Beat, 10*time.Millisecond, 10*time.Minute)
+	checker.durationRange("association.beat_limit", a.BeatLimit, a.Beat, time.Hour)
+	checker.durationRange("association.dial_limit", a.DialLimit, 10*time.Millisecond, time.Minute)
+	checker.durationRange("association.write_limit", a.WriteLimit, 10*time.Millisecond, time.Minute)
+	checker.durationRange("association.backoff_min", a.BackoffMin, time.Millisecond, time.Minute)
+	checker.durationRange("association.backoff_max", a.BackoffMax, a.BackoffMin, time.Hour)
+	checker.durationRange("association.recovery", a.Recovery, 0, time.Minute)
+	checker.Must(a.RecoveryQueue >= 0 && a.RecoveryQueue <= 64<<20, "association.recovery_queue", "%d octets is not in the range of 0 to 64 MiB", a.RecoveryQueue)
+	checker.Must(a.Queue >= m3ua.MaxFrame, "association.queue", "%d octets cannot hold a frame of %d octets", a.Queue, m3ua.MaxFrame)
+	checker.Must(c.Limits.Calls >= 1 && c.Limits.Calls <= 1<<30, "limits.calls", "%d is not in the range of 1 to 2^30", c.Limits.Calls)
+	checker.Must(c.Limits.Clients >= 1, "limits.clients", "%d is less than 1", c.Limits.Clients)
+	checker.Must(c.Limits.Events >= 1 && c.Limits.Events <= 1<<20, "limits.events", "%d is not in the range of 1 to 2^20", c.Limits.Events)
+	checker.Must(c.Limits.HandshakeRate > 0, "limits.handshakes", "%v is not above 0", c.Limits.HandshakeRate)
 	for key, limits := range map[string]AdmissionLimits{"client": c.Limits.Client, "tenant": c.Limits.Tenant, "all": c.Limits.All} {
-		v.Must(limits.Rate >= 0 && limits.Burst >= 0 && limits.Open >= 0, "limits."+key, "a limit is negative")
+		checker.Must(limits.Rate >= 0 && limits.Burst >= 0 && limits.Open >= 0, "limits."+key, "a limit is negative")
 	}
-	v.durationRange("hooks.deadline", c.Hooks.Deadline, time.Millisecond, time.Second)
-	v.Must(c.Hooks.Workers >= 1 && c.Hooks.Workers <= 64, "hooks.workers", "%d is not in the range of 1 to 64", c.Hooks.Workers)
-	v.Must(c.Hooks.Queue >= 1 && c.Hooks.Queue <= 1<<16, "hooks.queue", "%d is not in the range of 1 to 65536", c.Hooks.Queue)
-	c.checkClasses(v)
-	c.checkClients(v)
-	c.checkExchanges(v)
+	checker.durationRange("hooks.deadline", c.Hooks.Deadline, time.Millisecond, time.Second)
+	checker.Must(c.Hooks.Workers >= 1 && c.Hooks.Workers <= 64, "hooks.workers", "%d is not in the range of 1 to 64", c.Hooks.Workers)
+	checker.Must(c.Hooks.Queue >= 1 && c.Hooks.Queue <= 1<<16, "hooks.queue", "%d is not in the range of 1 to 65536", c.Hooks.Queue)
+	c.checkClasses(checker)
+	c.checkClients(checker)
+	c.checkExchanges(checker)
 }
 
-func (c *Config) checkClasses(v *Checker) {
-	v.Must(len(c.Classes) > 0 && len(c.Classes) < 256, "classes", "%d classes: the number is not in the range of 1 to 255", len(c.Classes))
+func (c *Config) checkClasses(checker *Checker) {
+	checker.Must(len(c.Classes) > 0 && len(c.Classes) < 256, "classes", "%d classes: the number is not in the range of 1 to 255", len(c.Classes))
 	seen, names := map[int]string{}, map[string]bool{}
 	for i, class := range c.Classes {
 		key := func(k string) string { return fmt.Sprintf("classes[%d].%s", i, k) }
-		v.Must(class.Name != "" && !names[class.Name], key("name"), "%q is empty or given twice", class.Name)
+		checker.Must(class.Name != "" && !names[class.Name], key("name"), "%q is empty or given twice", class.Name)
 		names[class.Name] = true
-		v.durationRange(key("aim"), class.Aim, time.Millisecond, time.Minute)
-		v.durationRange(key("patience"), class.Patience, time.Millisecond, 2*time.Minute)
-		v.Must(class.Patience >= class.Aim, key("patience"), "%v is under the aim of %v: its callers would give up before a call can be late", class.Patience, class.Aim)
-		v.Must(class.Ring == 0 || class.Ring >= time.Second && class.Ring <= 10*time.Minute, key("ring"), "%v is not in the range of 1s to 10m", class.Ring)
-		v.Must(class.Patience > c.AnswerMargin, key("patience"), "%v is not above answer_margin %v: no call could be answered in time", class.Patience, c.AnswerMargin)
-		v.Must(class.Worth >= 0, key("worth"), "%v is negative", class.Worth)
-		v.Must(class.LateWorth >= 0 && class.LateWorth <= 1, key("late_worth"), "%v is not in the range of 0 to 1", class.LateWorth)
+		checker.durationRange(key("aim"), class.Aim, time.Millisecond, time.Minute)
+		checker.durationRange(key("patience"), class.Patience, time.Millisecond, 2*time.Minute)
+		checker.Must(class.Patience >= class.Aim, key("patience"), "%v is under the aim of %v: its callers would give up before a call can be late", class.Patience, class.Aim)
+		checker.Must(class.Ring == 0 || class.Ring >= time.Second && class.Ring <= 10*time.Minute, key("ring"), "%v is not in the range of 1s to 10m", class.Ring)
+		checker.Must(class.Patience > c.AnswerMargin, key("patience"), "%v is not above answer_margin %v: no call could be answered in time", class.Patience, c.AnswerMargin)
+		checker.Must(class.Worth >= 0, key("worth"), "%v is negative", class.Worth)
+		checker.Must(class.LateWorth >= 0 && class.LateWorth <= 1, key("late_worth"), "%v is not in the range of 0 to 1", class.LateWorth)
 		for j, category := range class.Categories {
 			k := fmt.Sprintf("classes[%d].categories[%d]", i, j)
-			v.Must(category >= 0 && category <= 255, k, "%d is not a calling party's category (0 to 255)", category)
-			v.Must(seen[category] == "", k, "category %d is already assigned to class %s", category, seen[category])
+			checker.Must(category >= 0 && category <= 255, k, "%d is not a calling party's category (0 to 255)", category)
+			checker.Must(seen[category] == "", k, "category %d is already assigned to class %s", category, seen[category])
 			seen[category] = class.Name
 		}
-		v.Must(i == 0 || len(class.Categories) > 0, key("categories"), "is missing: no call would be of class %s", class.Name)
+		checker.Must(i == 0 || len(class.Categories) > 0, key("categories"), "is missing: no call would be of class %s", class.Name)
 	}
 }
 
-func (c *Config) checkClients(v *Checker) {
+func (c *Config) checkClients(checker *Checker) {
 	tenants := map[string]bool{}
 	for i, tenant := range c.Tenants {
-		v.Must(tenant.Name != "" && !tenants[tenant.Name], fmt.Sprintf("tenants[%d].name", i), "%q is empty or given twice", tenant.Name)
-		v.Must(tenant.Quota >= 0, fmt.Sprintf("tenants[%d].quota", i), "%v is negative", tenant.Quota)
+		checker.Must(tenant.Name != "" && !tenants[tenant.Name], fmt.Sprintf("tenants[%d].name", i), "%q is empty or given twice", tenant.Name)
+		checker.Must(tenant.Quota >= 0, fmt.Sprintf("tenants[%d].quota", i), "%v is negative", tenant.Quota)
 		tenants[tenant.Name] = true
 	}
 	asps := map[uint32]bool{}
@@ -449,50 +450,50 @@
 	for i, client := range c.Clients {
 		key, ids := fmt.Sprintf("clients[%d].asp", i), []uint32{client.ASP}
 		if len(client.Associations) > 0 {
-			v.Must(client.ASP == 0, key, "is given together with associations: a client has either of them")
-			v.Must(TrafficModes[client.Mode] != 0, fmt.Sprintf("clients[%d].mode", i), "%q is not override, loadshare or broadcast", client.Mode)
-			v.Must(!names[client.Name] && client.Name != "", fmt.Sprintf("clients[%d].name", i), "%q is missing or given twice", client.Name)
+			checker.Must(client.ASP == 0, key, "is given together with associations: a client has either of them")
+			checker.Must(TrafficModes[client.Mode] != 0, fmt.Sprintf("clients[%d].mode", i), "%q is not override, loadshare or broadcast", client.Mode)
+			checker.Must(!names[client.Name] && client.Name != "", fmt.Sprintf("clients[%d].name", i), "%q is missing or given twice", client.Name)
 			names[client.Name] = true
 			key, ids = fmt.Sprintf("clients[%d].associations", i), client.Associations
 		} else {
-			v.Must(client.Mode == "", fmt.Sprintf("clients[%d].mode", i), "has no effect without associations")
+			checker.Must(client.Mode == "", fmt.Sprintf("clients[%d].mode", i), "has no effect without associations")
 		}
 		for _, id := range ids {
-			v.Must(!asps[id], key, "%d is given twice", id)
+			checker.Must(!asps[id], key, "%d is given twice", id)
 			asps[id] = true
 		}
-		v.Must(client.Tenant == "" || tenants[client.Tenant], fmt.Sprintf("clients[%d].tenant", i), "there is no tenant %q", client.Tenant)
+		checker.Must(client.Tenant == "" || tenants[client.Tenant], fmt.Sprintf("clients[%d].tenant", i), "there is no tenant %q", client.Tenant)
 	}
 }
 
-func (c *Config) checkExchanges(v *Checker) {
+func (c *Config) checkExchanges(checker *Checker) {
 	seen, addresses := map[uint32]bool{}, map[string]uint32{}
 	var numbers numbering.Table[uint32]
 	for i, exchange := range c.Exchanges {
 		key := func(k string) string { return fmt.Sprintf("exchanges[%d].%s", i, k) }
-		v.Must(exchange.PointCode > 0 && exchange.PointCode <= maxPointCode, key("point_code"), "%d is not in the range of 1 to %d", exchange.PointCode, maxPointCode)
-		v.Must(!seen[exchange.PointCode], key("point_code"), "%d is given twice", exchange.PointCode)
+		checker.Must(exchange.PointCode > 0 && exchange.PointCode <= maxPointCode, key("point_code"), "%d is not in the range of 1 to %d", exchange.PointCode, maxPointCode)
+		checker.Must(!seen[exchange.PointCode], key("point_code"), "%d is given twice", exchange.PointCode)
 		seen[exchange.PointCode] = true
-		v.Must(len(exchange.Switch) > 0, key("switch"), "is missing: the addresses of the switch")
+		checker.Must(len(exchange.Switch) > 0, key("switch"), "is missing: the addresses of the switch")
 		for j, address := range exchange.Switch {
 			k := fmt.Sprintf("exchanges[%d].switch[%d]", i, j)
-			v.Address(k, address)
-			v.Must(addresses[address] == 0, k, "%s is already the address of exchange %d", address, addresses[address])
+			checker.Address(k, address)
+			checker.Must(addresses[address] == 0, k, "%s is already the address of exchange %d", address, addresses[address])
 			addresses[address] = exchange.PointCode
 		}
 		if exchange.PointCode == c.Exchange {
-			v.Must(exchange.Circuits == 0, key("circuits"), "this controller's own exchange has no trunk group to itself")
+			checker.Must(exchange.Circuits == 0, key("circuits"), "this controller's own exchange has no trunk group to itself")
 		} else {
-			v.Must(exchange.Circuits >= 0 && exchange.Circuits <= isup.MaxCIC, key("circuits"), "%d is not in the range of 0 to %d", exchange.Circuits, isup.MaxCIC)
+			checker.Must(exchange.Circuits >= 0 && exchange.Circuits <= isup.MaxCIC, key("circuits"), "%d is not in the range of 0 to %d", exchange.Circuits, isup.MaxCIC)
 		}
 		for j, prefix := range exchange.Prefixes {
 			if err := numbers.Add(prefix, exchange.PointCode); err != nil {
-				v.Errorf(fmt.Sprintf("exchanges[%d].prefixes[%d]", i, j), "%v", err)
+				checker.Errorf(fmt.Sprintf("exchanges[%d].prefixes[%d]", i, j), "%v", err)
 			}
 		}
 	}
-	v.Must(len(c.Exchanges) >= 2, "exchanges", "%d exchanges: at least this controller's own and another are required", len(c.Exchanges))
-	v.Must(seen[c.Exchange], "exchanges", "this controller's own exchange %d is missing", c.Exchange)
+	checker.Must(len(c.Exchanges) >= 2, "exchanges", "%d exchanges: at least this controller's own and another are required", len(c.Exchanges))
+	checker.Must(seen[c.Exchange], "exchanges", "this controller's own exchange %d is missing", c.Exchange)
 }
 
 // Controller returns the settings of the call controller.
@@ -545,7 +546,7 @@
 
 // Check checks settings that were not read from a file; its errors show name as the file.
 func (c *Config) Check(name string) error {
-	v := &Checker{name: name}
-	c.check(v)
-	return v.Err()
+	checker := &Checker{name: name}
+	c.check(checker)
+	return checker.Err()
 }
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,4 +1,4 @@
-// Package outbox provides the bounded output queue of a connection, between the senders and the goroutine that writes.
+// Package outbox provides the bounded output queue of a connection, between the senders and the goroutine that writes to it.
 package outbox
 
 import "sync"
@@ -20,8 +20,8 @@
 // New creates a queue of at most limit bytes.
 func New(limit int) *Queue { return &Queue{wake: make(chan struct{}, 1), limit: limit} }
 
-// Put queues data; false: the queue has too little room, or Finish or Close has been called. It does not wake the writer: call
-// Notify.
+// Put queues data. It returns false if the queue would exceed its limit, or Finish or Close has been called. It does not wake the
+// writer: call Notify.
 func (q *Queue) Put(data []byte) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -73,8 +73,8 @@
 // maxKeptBytes is the largest buffer that is kept for reuse: a larger one, grown by a burst, is freed.
 const maxKeptBytes = 1 << 16
 
-// Take moves what is queued to the end of buf. finishing: nothing more will follow; closed: the queue is closed, nothing is moved,
-// and the writer must not write.
+// Take moves what is queued to the end of buf. finishing reports that nothing more will follow; closed reports that the queue is
+// closed: nothing is moved, and the writer must not write.
 func (q *Queue) Take(buf []byte) (queued []byte, finishing, closed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/taskgroup/taskgroup.go
+++ b/internal/taskgroup/taskgroup.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Group is the goroutines of one owner. A panic ends only the goroutine in which it occurs, not the program.
+// Group holds the goroutines of one owner. A panic ends only the goroutine in which it occurs, not the program.
 type Group struct {
 	Panic func(where string, r any, stack []byte) // called for each panic
 
@@ -31,7 +31,7 @@
 // Wait waits until all goroutines that Go has started have ended.
 func (g *Group) Wait() { g.wg.Wait() }
 
-// Recovered passes r, the result of recover, to Panic; false: r is nil, as there was no panic.
+// Recovered passes r, the result of recover, to Panic. It reports whether there was a panic, that is, whether r is not nil.
 func (g *Group) Recovered(where string, r any) bool {
 	if r == nil {
 		return false
@@ -40,15 +40,15 @@
 	return true
 }
 
-// RunRecovered runs f and recovers from a panic; false: f has panicked.
+// RunRecovered runs f and recovers from a panic. It reports whether f returned without a panic.
 func (g *Group) RunRecovered(where string, f func()) (completed bool) {
 	defer func() { completed = !g.Recovered(where, recover()) }()
 	f()
 	return true
 }
 
-// Accept passes the connections of a listener to handle until ctx ends, which closes the listener, or the listener is closed or
-// its deadline passes. Any other error, such as a lack of file descriptors, goes to onError, and Accept continues after 50 ms.
+// Accept passes the connections of a listener to handle until the listener is closed or its deadline passes; the end of ctx closes
+// it. Any other error, such as a lack of file descriptors, is passed to onError, and Accept continues after 50 ms.
 func Accept(ctx context.Context, l net.Listener, onError func(error), handle func(net.Conn)) {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	for {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -153,7 +153,7 @@
 	return v.GetBool()
 }
 
-// healthByName maps the states of switches in a list.
+// healthByName maps the names of the states of switches in a list.
 var healthByName = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Removed}
 
 // entries returns value i as a list of switches.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,8 +11,8 @@
 	"github.com/umbergauge/umbergauge/policy"
 )
 
-// Settings are the settings that a controller receives at its start, from the simulator and on the platform alike: those of
-// package policy, and those of the code that carries out its actions.
+// Settings are the settings that a controller receives at its start, from the simulator or from the platform: those of package
+// policy, and those of the code that carries out its actions.
 type Settings struct {
 	Policy  policy.Config // without Seed
 	Classes []string      // names, in the order of Policy.Classes
@@ -29,7 +29,7 @@
 	reportFields []reportField // the known fields of load reports
 }
 
-// Decode decodes the settings object. A missing or null key has the default given here, in most cases zero.
+// Decode decodes the settings object. A key that is missing or null gets the default in the code below, in most cases zero.
 func Decode(object *fastjson.Value) (*Settings, error) {
 	if object == nil || object.Type() != fastjson.TypeObject {
 		return &Settings{}, errors.New("settings: not an object")
@@ -98,13 +98,13 @@
 	return decoded, firstError
 }
 
-// Report returns a load report with the fields that the settings name. lookUp returns the value of a field by name; a field
-// that is not named, missing or out of range is unknown.
+// Report returns a load report with the fields that the settings name. lookUp returns the value of a field by name. A field that
+// the settings do not name, that is missing, or whose value is negative or 1e15 and more is unknown.
 func (s *Settings) Report(lookUp func(name string) (float64, bool)) policy.Report {
 	return readReport(s.reportFields, lookUp)
 }
 
-// readReport builds a load report from the values of fields that lookUp finds; values outside 0 to 1e15 stay unknown.
+// readReport builds a load report from the values of fields that lookUp finds; values below 0, or 1e15 and more, stay unknown.
 func readReport(fields []reportField, lookUp func(name string) (float64, bool)) policy.Report {
 	report := unknownReport
 	for _, field := range fields {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -22,7 +22,7 @@
 	reportFields []reportField // the known fields of load reports
 }
 
-// host holds the controllers of one process and the last received lists of switches, each by its number.
+// host holds the controllers of one process and the last received lists of switches, each keyed by its number.
 type host struct {
 	parser    fastjson.Parser
 	instances map[int64]*instance
@@ -32,7 +32,7 @@
 	out       []byte
 }
 
-// Serve reads batches from r and answers them on w until the input ends. The text of its error is one line.
+// Serve reads batches from r and answers them on w until the input ends. The text of its error is a single line.
 func Serve(r io.Reader, w io.Writer) error {
 	h := &host{instances: map[int64]*instance{}, lists: map[int64][]policy.Entry{}}
 	in := bufio.NewReaderSize(r, 1<<20)
@@ -236,12 +236,15 @@
 	return policy.Established{Call: message.call(1), Delay: message.milliseconds(2), Exchange: message.text(3), Attempt: int(message.integer(4))}
 }
 
-// causeByCode maps the completion codes of Returned.
+// causeByCode maps the completion codes of Returned to causes.
 var causeByCode = map[int64]policy.Cause{
 	0: policy.Completed, 13: policy.Failed, 8: policy.NotSetUp, 4: policy.TimedOut, 14: policy.NoContact,
 	10: policy.Reset, 1: policy.Cancelled, 9: policy.NotSent,
 }
 
+// decodeReturned decodes the end of an attempt. The low four bits of its reason are the kind: 1 no circuit, 2 crankback, 3 processor
+// full, 4 number busy. The bits above them give details: for a crankback, 1 means that the destination is full; for a full
+// processor, they are the retry-after time in milliseconds.
 func (in *instance) decodeReturned(message *inputMessage) policy.Event {
 	message.requireValues(9)
 	code, reason := message.integer(6), int64(message.optionalNumber(5, 0))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,9 +18,9 @@
 	return "[\"Clock\",9000.25,1]\n" + strings.Join(lines, "\n") + "\n[\"OverToYou\"]\n"
 }
 
-// TestServeAnswersOrNamesTheLine guards against input that gets a wrong answer, and against malformed input that is accepted
-// or reported without its line or reason.
-func TestServeAnswersOrNamesTheLine(t *testing.T) {
+// TestServeAnswersValidInputAndReportsLineOfInvalid guards against valid input that gets a wrong answer, and against malformed
+// input that is accepted or reported without its line or reason.
+func TestServeAnswersValidInputAndReportsLineOfInvalid(t *testing.T) {
 	start := batch(helloLine, poolLine, `["Targets",3,"C",0,0]`, `["Echo",3,0,"10.0.0.2:2",0,{"free":5,"size":9}]`, demandLine)
 	set := `["Send",3,1564119492,1500,"10.0.0.2:2"]`
 	for name, tc := range map[string]struct{ in, out, err string }{
@@ -67,7 +67,7 @@
 	}
 }
 
-// FuzzServe: malformed input ends with an error and never with a panic.
+// FuzzServe guards against a panic: whatever the input, Serve must return, with or without an error.
 func FuzzServe(f *testing.F) {
 	f.Add(batch(helloLine, poolLine, `["Targets",3,"C",0,0]`, demandLine))
 	f.Add(batch(helloLine, poolLine, `["Targets",3,"D",0,0]`, demandLine, `["Wake",3,1564119492]`, `["Dropped",3,1564119492]`))
--- a/isup/isup_test.go
+++ b/isup/isup_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Fixes the seed, so that each run draws the same cases. Others: go test -args -rapid.seed=N -rapid.checks=N.
+// Sets a fixed seed, so that each run draws the same cases. For other cases: go test -args -rapid.seed=N -rapid.checks=N.
 func init() { flag.Set("rapid.seed", "1") }
 
 func mustParseNumber(t testing.TB, digits string) Number {
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestUnknownParametersFollowInstructions: unrecognised optional parameters are passed on or discarded, or the message is
-// discarded or the call released, as their instruction indicators require (Q.764, 2.9.5.3).
+// TestUnknownParametersFollowInstructions guards against instruction indicators that are not obeyed: unrecognised optional
+// parameters are passed on or discarded, or the message is discarded or the call released, as they require (Q.764, 2.9.5.3).
 func TestUnknownParametersFollowInstructions(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestIAMRoundTrip guards against an IAM that loses or changes a parameter when it is encoded and decoded.
-func TestIAMRoundTrip(t *testing.T) {
+// TestIAMKeepsParametersInRoundTrip guards against an IAM that loses or changes a parameter when it is encoded and decoded.
+func TestIAMKeepsParametersInRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		digits := rapid.StringMatching(`[0-9]{0,24}`)
 		called, _ := ParseNumber(rapid.Byte().Draw(t, "nature")&0x7f, digits.Draw(t, "called"))
@@ -178,7 +178,7 @@
 	})
 }
 
-// FuzzDecode: a decoded message can be encoded, and encoding is stable.
+// FuzzDecode guards against a panic, and against a decoded message that cannot be encoded or changes when it is decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, s := range samples {
 		b, _ := hex.DecodeString(s.hex)
--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -1,6 +1,6 @@
-// Package load is a load generator: it offers calls to a running controller and measures their outcomes. It works as an open
-// loop: a call is made when it is due, whatever became of earlier ones, and its set-up time counts from when it was due. So the
-// calls that fall due while the controller is stalled are still measured (no coordinated omission).
+// Package load is a load generator: it offers calls to a running controller and measures their outcomes. The load is
+// an open loop: each call is made when it is due, whatever the outcome of earlier ones, and its set-up time counts from when it was
+// due. Calls that fall due while the controller is stalled are therefore measured too (no coordinated omission).
 package load
 
 import (
@@ -31,7 +31,7 @@
 	Redial     time.Duration `yaml:"redial_after"`
 
 	recorded    []Arrival
-	part, parts int // this process offers every parts-th recorded call, from number part on
+	part, parts int // this process offers every parts-th recorded call, starting at index part
 }
 
 // Burst multiplies the rate by Times for a duration at regular intervals.
@@ -64,7 +64,7 @@
 		Classes: []Class{{"ordinary", 1, 10, 5 * time.Second, 3 * time.Second, time.Minute}}}
 }
 
-// Load reads and checks a file. The error is a config.Faults, or the error of reading the file.
+// Load reads and checks a file. The error is of type config.FileErrors, or that of reading a file.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return cfg, err
 }
 
-// Parse reads and checks the content of a file; errors name the file by name.
+// Parse parses and checks the content of a file; its errors show name as the file.
 func Parse(name string, data []byte) (*Config, error) {
 	cfg := Default()
 	if err := config.Decode(name, data, &cfg); err != nil {
@@ -131,7 +131,7 @@
 	at           time.Duration
 	classShares  []float64
 	numberShares []float64
-	nextRow      int // next call of the recorded ones
+	nextRow      int // index of the next recorded call
 }
 
 // NewArrivals creates the generator of the calls of a load.
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// Guards against an invalid value that is accepted, or reported without its key and place.
+// Guards against an invalid value that is accepted, or reported without its key and position.
 func TestParseReportsKeyOfInvalidValue(t *testing.T) {
 	for _, x := range [][3]string{{"rate: 50", "rate: 0", "l.yaml:4:7: rate"}, {"exchange: 1", "exchnge: 1", "l.yaml:3:1: exchnge"},
 		{"length: 6, share: 3", "length: 0, share: 3", "numbers[0].length"}, {"hold: 2s", "hold: 0s", "classes[0].hold"},
--- a/load/parts.go
+++ b/load/parts.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Part returns the part of a load that process i of n offers: a share of the clients, the same share of the rate, and its own
-// seed. The Poisson arrivals of n parts together are Poisson arrivals of the whole load.
+// Part returns the part of a load that process i of n offers, with i from 0: a share of the clients, the same share of the rate,
+// and its own seed. The Poisson arrivals of n parts together are Poisson arrivals of the whole load.
 func (c *Config) Part(i, n int) (*Config, error) {
 	if n < 1 || i < 0 || i >= n {
 		return nil, fmt.Errorf("load: invalid part %d of %d: parts count from 0", i, n)
--- a/load/parts_test.go
+++ b/load/parts_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Guards against counts or quantiles lost when reports of several processes are merged after their way through JSON.
-func TestMergeEqualsOneHistogramOfAll(t *testing.T) {
+// Guards against counts or quantiles lost when reports of several processes are merged after being encoded and decoded as JSON.
+func TestMergeKeepsTotalsAndQuantiles(t *testing.T) {
 	var parts []Report
 	for _, ringing := range []time.Duration{time.Second, 3 * time.Second} {
 		b, err := json.Marshal(runLoad(t, 0, emulator.Ringing{Median: ringing}))
--- a/load/recorded.go
+++ b/load/recorded.go
@@ -21,7 +21,7 @@
 // maxRecorded limits the recorded calls that are held in memory.
 const maxRecorded = 10_000_000
 
-// ReadRecord reads the CSV file of a recorded load; errors name it by name, with the line.
+// ReadRecord reads the CSV file of a recorded load; its errors show name as the file, and the line.
 func ReadRecord(name string, input io.Reader, cfg *Config) ([]Arrival, error) {
 	reader := csv.NewReader(input)
 	reader.FieldsPerRecord, reader.ReuseRecord, reader.Comment = len(recordHeader), true, '#'
@@ -129,11 +129,12 @@
 	return Arrival{}, false
 }
 
-// Recorder makes a recorded load of the calls that clients offered, from the messages on their circuits. It does no I/O.
+// Recorder builds a recorded load: it derives the calls that clients offered from the messages on their circuits. Only Write does
+// I/O.
 type Recorder struct {
 	calls         []recordedCall
 	callByCircuit map[circuitKey]int // index in calls of the last call on a circuit
-	clientIndex   map[string]int     // number of each client, in the order of their first calls
+	clientIndex   map[string]int     // index of each client, in the order of their first calls
 }
 
 type recordedCall struct {
--- a/load/recorded_test.go
+++ b/load/recorded_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against calls lost, repeated or altered between Recorder, ReadRecord and the parts of a recorded load, and against
-// invalid rows that are accepted or reported without their place.
+// invalid rows that are accepted or reported without their position.
 func TestRecordedCallsReadBackAndSplitIntoParts(t *testing.T) {
 	var recorder Recorder
 	at := time.Second
--- a/load/run.go
+++ b/load/run.go
@@ -83,7 +83,7 @@
 	setUp         *hdrhistogram.Histogram
 	answer        *hdrhistogram.Histogram
 	sendDelay     *hdrhistogram.Histogram
-	t             Totals
+	totals        Totals
 	seconds       []SecondTotals
 	lastReference uint32
 	openCalls     int
@@ -125,8 +125,8 @@
 // collected in the client's pending batch.
 const writeQueueSize = 1024
 
-// Run offers a load and returns when its last call has ended. After the span it waits a minute for that, or longer if ringing and
-// holding times of the classes require it, but at most ten minutes.
+// Run offers a load and returns when its last call has ended. It waits for that until a minute after the span, or longer if the
+// ringing and holding times of the classes require it, but at most ten minutes.
 func Run(ctx context.Context, cfg *Config, options Options) (Report, error) {
 	if options.Dial == nil {
 		var d net.Dialer
@@ -134,7 +134,7 @@
 	}
 	copied := *cfg
 	cfg, copied.Classes = &copied, slices.Clone(cfg.Classes)
-	for i := range copied.Classes { // not set in a Config that was not made by Parse
+	for i := range copied.Classes { // Ring is 0 if the Config was not returned by Parse and does not set it
 		if copied.Classes[i].Ring == 0 {
 			copied.Classes[i].Ring = time.Minute
 		}
@@ -145,7 +145,7 @@
 	defer cancel()
 	r := &runner{cfg: cfg, options: options, start: time.Now(), wheel: timer.New[func()](0, time.Millisecond), events: make(chan func(), 4096),
 		setUp: hdrhistogram.New(1, 120_000_000, 3), answer: hdrhistogram.New(1, 1_200_000_000, 3), sendDelay: hdrhistogram.New(1, 120_000_000, 3)}
-	r.t.Causes = map[string]uint64{}
+	r.totals.Causes = map[string]uint64{}
 	var connected sync.WaitGroup
 	for i := range cfg.Clients {
 		newClient := &client{r: r, pc: cfg.PointCode + uint32(i), calls: map[uint16]*attempt{}}
@@ -176,7 +176,7 @@
 	r.start = time.Now()
 	r.wheel = timer.New[func()](0, time.Millisecond)
 	r.loop(ctx)
-	report := Report{Span: time.Since(r.start), Totals: r.t, SetUpUS: quantiles(r.setUp), AnswerUS: quantiles(r.answer), LateUS: quantiles(r.sendDelay), OfferedPerSecond: float64(r.t.Offered) / cfg.Span.Seconds(), Seconds: r.seconds,
+	report := Report{Span: time.Since(r.start), Totals: r.totals, SetUpUS: quantiles(r.setUp), AnswerUS: quantiles(r.answer), LateUS: quantiles(r.sendDelay), OfferedPerSecond: float64(r.totals.Offered) / cfg.Span.Seconds(), Seconds: r.seconds,
 		Histograms: &Histograms{r.setUp.Export(), r.answer.Export(), r.sendDelay.Export()}}
 	return report, ctx.Err()
 }
@@ -198,7 +198,7 @@
 	for more || r.openCalls > 0 {
 		now := r.now()
 		for more && next.At <= now {
-			r.t.Offered++
+			r.totals.Offered++
 			for len(r.seconds) <= int(next.At/time.Second) {
 				r.seconds = append(r.seconds, SecondTotals{})
 			}
@@ -216,7 +216,7 @@
 		r.spanOver = now > r.cfg.Span
 		if now >= nextProgress && r.options.Progress != nil {
 			nextProgress += time.Second
-			fmt.Fprintf(r.options.Progress, "%4.0f s: offered %d, rang %d, stood %d, refused %d, given up %d, open %d\n", now.Seconds(), r.t.Offered, r.t.Alerted, r.t.Answered, r.t.Refused, r.t.Abandoned, r.openCalls)
+			fmt.Fprintf(r.options.Progress, "%4.0f s: offered %d, rang %d, stood %d, refused %d, given up %d, open %d\n", now.Seconds(), r.totals.Offered, r.totals.Alerted, r.totals.Answered, r.totals.Refused, r.totals.Abandoned, r.openCalls)
 		}
 		wake := 100 * time.Millisecond
 		if more {
@@ -245,7 +245,8 @@
 	}
 }
 
-// connect keeps a client connected until ctx is done. onActive is called whenever the association becomes active, and at the end.
+// connect connects the client, and again whenever the connection ends, until ctx is done. It calls onActive whenever the
+// association becomes active, and before it returns.
 func (c *client) connect(ctx context.Context, onActive func()) {
 	defer onActive()
 	for ctx.Err() == nil {
@@ -318,7 +319,7 @@
 		case m3ua.BEAT:
 			reply = &m3ua.Message{Kind: m3ua.BEATAck, Heartbeat: msg.Heartbeat}
 		case m3ua.SCON:
-			c.post(ctx, func() { c.r.t.CongestionReports++ })
+			c.post(ctx, func() { c.r.totals.CongestionReports++ })
 		case m3ua.DATA:
 			var isupMsg isup.Message
 			if isup.Decode(msg.Data.User, &isupMsg) != nil {
@@ -375,9 +376,9 @@
 // dial makes an attempt on a free circuit.
 func (c *client) dial(call *attempt) {
 	r := c.r
-	r.t.Tries++
+	r.totals.Tries++
 	if c.outgoing == nil {
-		r.t.NotConnected++
+		r.totals.NotConnected++
 		c.redial(call)
 		return
 	}
@@ -389,12 +390,12 @@
 		}
 	}
 	if call.cic == 0 {
-		r.t.NoCircuit++
+		r.totals.NoCircuit++
 		return
 	}
 	called, err := isup.ParseNumber(4, call.Called)
 	if err != nil {
-		r.t.Refused++
+		r.totals.Refused++
 		return
 	}
 	r.lastReference++
@@ -407,7 +408,7 @@
 	c.send(&isup.Message{Type: isup.IAM, CIC: call.cic, Category: isup.Category(class.Category), TransmissionMedium: 3, Called: called, HasCalling: true, Calling: calling,
 		HasRef: true, Ref: isup.CallReference{ID: r.lastReference & 0xffffff, PC: uint16(c.pc)}})
 	call.timer = r.wheel.Set(call.due+class.Patience, func() {
-		r.t.Abandoned++
+		r.totals.Abandoned++
 		c.release(call)
 		c.redial(call)
 	})
@@ -450,19 +451,19 @@
 		if call == nil || call.state != statePending {
 			return
 		}
-		r.t.Alerted++
+		r.totals.Alerted++
 		r.setUp.RecordValue(max(1, (r.now() - call.due).Microseconds()))
 		r.wheel.Stop(call.timer)
 		call.state = stateAlerted
 		call.timer = r.wheel.Set(r.now()+r.cfg.Classes[call.Class].Ring, func() {
-			r.t.AbandonedRinging++
+			r.totals.AbandonedRinging++
 			c.release(call)
 		})
 	case isup.ANM, isup.CON:
 		if call == nil || call.state != statePending && call.state != stateAlerted {
 			return
 		}
-		r.t.Answered++
+		r.totals.Answered++
 		r.seconds[call.firstDue/time.Second].Answered++
 		if call.state == statePending {
 			r.setUp.RecordValue(max(1, (r.now() - call.due).Microseconds()))
@@ -471,7 +472,7 @@
 		r.wheel.Stop(call.timer)
 		call.state = stateEstablished
 		call.timer = r.wheel.Set(r.now()+call.Hold, func() {
-			r.t.Finished++
+			r.totals.Finished++
 			c.release(call)
 		})
 	case isup.REL:
@@ -480,17 +481,17 @@
 			return
 		}
 		c.freeCircuit(call)
-		r.t.Causes[fmt.Sprint(msg.Cause)]++
+		r.totals.Causes[fmt.Sprint(msg.Cause)]++
 		switch {
 		case call.state == statePending, call.state == stateAlerted:
-			r.t.Refused++
+			r.totals.Refused++
 			if msg.Cause != isup.CauseNoAnswer && msg.Cause != isup.CauseNoUserResponding { // the called party does not answer: an immediate redial would be of no use
 				c.redial(call)
 			}
 		case msg.Cause == isup.CauseNormal:
-			r.t.Finished++
+			r.totals.Finished++
 		default:
-			r.t.Cut++
+			r.totals.Cut++
 			c.redial(call)
 		}
 	case isup.RLC:
--- a/m3ua/asp.go
+++ b/m3ua/asp.go
@@ -65,7 +65,7 @@
 	server       bool // this is the SGP end
 	state        State
 	id           uint32        // ASP identifier
-	context      uint32        // routing context
+	context      uint32        // routing context of ASPAC; used on the ASP end
 	trafficMode  uint32        // requested by the peer; used on the SGP end
 	awaited      Kind          // acknowledgement, or on the SGP end request, that is awaited; 0: none
 	unacked      int           // requests sent in a row without an acknowledgement
@@ -129,7 +129,7 @@
 // Override reports, on the SGP end, whether the peer requested traffic mode override (RFC 4666, 4.3.4.3).
 func (a *ASP) Override() bool { return a.trafficMode == TrafficOverride }
 
-// ID returns the ASP identifier: the own one on the ASP end, the peer's on the SGP end.
+// ID returns the ASP identifier: this end's own on the ASP end, the peer's on the SGP end.
 func (a *ASP) ID() uint32 { return a.id }
 
 func (a *ASP) send(m *Message) { a.Out = Append(a.Out, m) }
@@ -157,7 +157,7 @@
 		a.send(&Message{Kind: BEATAck, Heartbeat: m.Heartbeat})
 		return Nothing
 	case BEATAck:
-		if len(m.Heartbeat) == 8 { // the number of the acknowledged heartbeat: a round trip is measured without ambiguity (Karn's algorithm)
+		if len(m.Heartbeat) == 8 { // the number of the heartbeat: it identifies the transmission, so that every round trip can be measured (cf. Karn's algorithm)
 			if number := binary.BigEndian.Uint64(m.Heartbeat); number > 0 && number <= a.beatCount && number+uint64(len(a.heartbeat.sentAt)) > a.beatCount {
 				if sentAt := &a.heartbeat.sentAt[number%uint64(len(a.heartbeat.sentAt))]; *sentAt > 0 { // the first acknowledgement of this heartbeat
 					a.heartbeat.updateRTO(now - *sentAt)
--- a/m3ua/m3ua_test.go
+++ b/m3ua/m3ua_test.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestScannerCompactsBuffer reads a stream much longer than the scanner's buffer. It guards against octets that are lost or
-// doubled when the rest of the buffer moves to its start.
-func TestScannerCompactsBuffer(t *testing.T) {
+// TestScannerKeepsFramesWhenBufferIsCompacted reads a stream much longer than the scanner's buffer. It guards against octets that
+// are lost or doubled when the rest of the buffer moves to its start.
+func TestScannerKeepsFramesWhenBufferIsCompacted(t *testing.T) {
 	var stream []byte
 	for i := range 5000 {
 		stream = Append(stream, &Message{Kind: BEAT, Heartbeat: make([]byte, i%97+1)})
@@ -147,7 +147,7 @@
 	}
 }
 
-// FuzzDecode: a decoded message can be encoded, and encoding is stable.
+// FuzzDecode guards against a panic, and against a decoded message that cannot be encoded or changes when it is decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, x := range sampleFrames {
 		f.Add(unhex(f, x.hex))
@@ -167,7 +167,7 @@
 	})
 }
 
-// FuzzScanner: the size of the reads does not change the frames or whether there is an error.
+// FuzzScanner guards against frames or errors that depend on the size of the reads.
 func FuzzScanner(f *testing.F) {
 	f.Add([]byte{1, 0, 3, 3, 0, 0, 0, 8, 1, 0, 3, 3, 0, 0, 0, 8}, 3)
 	f.Fuzz(func(t *testing.T, b []byte, step int) {
@@ -260,8 +260,9 @@
 	}
 }
 
-// TestBeatLimitFailsSilentPeer: a peer from which nothing is received fails after BeatLimit, and not before.
-func TestBeatLimitFailsSilentPeer(t *testing.T) {
+// TestUnresponsivePeerFailsAfterBeatLimit guards against an association that stays up although nothing is received from the peer,
+// and against one that fails before BeatLimit.
+func TestUnresponsivePeerFailsAfterBeatLimit(t *testing.T) {
 	p := &linkedPair{t: t, asp: NewASP(Timers{Beat: time.Second}, 1, 1, 0), sgp: NewSGP(Timers{}, 0)}
 	p.exchangeFrames()
 	for p.now = 0; p.now < 1900*time.Millisecond; p.now += 100 * time.Millisecond {
@@ -275,8 +276,8 @@
 	}
 }
 
-// TestServerRefusesTrafficOutsideActiveState: no DATA is delivered before the ASP is active, and an ASPUP from an active ASP,
-// which means that it has restarted, stops its traffic.
+// TestServerRefusesTrafficOutsideActiveState guards against DATA that is delivered before the ASP is active, and against traffic
+// that continues after an ASPUP from an active ASP, which means that it has restarted.
 func TestServerRefusesTrafficOutsideActiveState(t *testing.T) {
 	g := NewSGP(Timers{}, 0)
 	if o := g.Handle(0, &Message{Kind: DATA}); o != Nothing || len(g.Out) == 0 {
@@ -284,7 +285,7 @@
 	}
 	g.Handle(0, &Message{Kind: ASPUP})
 	if g.Handle(0, &Message{Kind: ASPAC}) != Activated {
-		t.Fatal("not activated")
+		t.Fatal("an ASPAC after the ASPUP does not activate the ASP")
 	}
 	if g.Handle(0, &Message{Kind: ASPUP}) != Deactivated || g.State() != Inactive {
 		t.Error("an ASPUP from an active ASP does not stop its traffic")
--- a/record/record.go
+++ b/record/record.go
@@ -1,6 +1,6 @@
 // Package record records the traffic of a run at the sockets of the emulated switches and clients: every frame with its time,
-// link and direction, and events such as injected faults. The checker of the rules evaluates the recording; the controllers do
-// not take part in it.
+// link and direction, and events such as injected faults. Package check evaluates the recording; the controllers do not
+// take part in recording.
 package record
 
 import (
@@ -76,7 +76,7 @@
 // Now returns the time since the start of the log.
 func (l *Log) Now() time.Duration { return time.Since(l.start) }
 
-// Discard makes the log drop all further frames, for runs that are not checked.
+// Discard makes the log drop all frames from now on, for runs that are not checked. Links and events are still recorded.
 func (l *Log) Discard() {
 	l.mu.Lock()
 	l.discardFrames = true
@@ -98,7 +98,7 @@
 	return l.links[link].Kind
 }
 
-// Close records the end of a link, at the first call for it.
+// Close records the end of a link. Further calls for the same link have no effect.
 func (l *Log) Close(link int32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
