--- a/emulator/subscriber.go
+++ b/emulator/subscriber.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Ringing describes how the called numbers of a class respond to calls.
+// Ringing describes how called subscribers respond to calls of one calling party's category.
 type Ringing struct {
 	Median   time.Duration `yaml:"median"`    // time from ACM to ANM; 0: calls are answered at once
 	Spread   float64       `yaml:"spread"`    // sigma of the log-normal distribution of that time; 0: always the median
@@ -15,13 +15,13 @@
 	Busy     float64       `yaml:"busy"`      // share of calls that find the subscriber busy
 }
 
-// Check returns an error for a value out of range.
+// Check returns an error if a value is not in its range.
 func (r Ringing) Check() error {
 	switch {
 	case r.Median < 0 || r.Median > 5*time.Minute:
-		return fmt.Errorf("median %v out of range [0, 5m]", r.Median)
+		return fmt.Errorf("median %v is not in the range of 0 to 5m", r.Median)
 	case r.Spread < 0 || r.Spread > 3:
-		return fmt.Errorf("spread %v out of range [0, 3]", r.Spread)
+		return fmt.Errorf("spread %v is not in the range of 0 to 3", r.Spread)
 	case r.NoAnswer < 0 || r.Busy < 0 || r.NoAnswer+r.Busy > 1:
 		return fmt.Errorf("no_answer %v and busy %v: shares must not be negative or add up to more than 1", r.NoAnswer, r.Busy)
 	}
