--- a/check/check.go
+++ b/check/check.go
@@ -27,9 +27,9 @@
 
 // ColdStart describes how many set-ups overload a freshly started switch.
 type ColdStart struct {
-	Share    float64       // of its capacity that it has right after the start
-	WarmUp   time.Duration // until it has its full capacity
-	Multiple float64       // of its present capacity, over Span, from which on it is overloaded
+	Share    float64       // capacity right after the start, as a share of the full one
+	WarmUp   time.Duration // time from the start to full capacity
+	Multiple float64       // set-ups within Span above which it is overloaded, as a multiple of its present capacity
 	Span     time.Duration
 }
 
@@ -37,15 +37,22 @@
 type Class struct {
 	Name      string
 	Category  isup.Category
-	Aim       time.Duration
+	Aim       time.Duration // a set-up that is complete later than this earns LateWorth only
 	Patience  time.Duration // the caller abandons a call that has not alerted after this time ...
 	Ring      time.Duration // ... and one that alerts after this time; 0: a minute
 	GiveUp    time.Duration // a set-up that is complete later than this earns nothing
 	Worth     float64
-	LateWorth float64
+	LateWorth float64 // as a share of Worth
 }
 
-// Violation is one violation of a rule.
+// Violation is one violation of a rule. The rules of a controller, by number:
+//
+//  1. A call gets exactly one final answer (ANM, CON or REL) before its caller's deadline, and no set-up of it is sent after that.
+//     ACM or CPG is sent to the client only if a switch has sent one.
+//  2. At most one attempt of a call is outstanding.
+//  3. No set-up is sent to an exchange that was reported as draining or unavailable, after a grace period.
+//  4. A freshly started switch does not get more set-ups than ColdStart allows.
+//  5. After an attempt that was released without an answer, or lost, the next one waits for the guard.
 type Violation struct {
 	Rule       int           `json:"rule"` // 1 to 5; 6: two calls on one circuit
 	At         time.Duration `json:"at"`
@@ -84,7 +91,7 @@
 // Report is the result of an evaluation.
 type Report struct {
 	Whole       Service            `json:"whole"`
-	ToAnswer    Service            `json:"whole_to_answer"` // if the aim applied to the time to answer, ringing included
+	ToAnswer    Service            `json:"whole_to_answer"` // as Whole, with the aim applied to the time to answer, ringing included
 	WorstWindow Service            `json:"worst_10s"`
 	WorstFrom   time.Duration      `json:"worst_10s_from"`
 	WorstClass  string             `json:"worst_class"`
@@ -164,12 +171,13 @@
 	at            time.Duration
 	state         attemptState
 	end           time.Duration
-	established   bool
+	established   bool // answered and not yet released
 	establishedAt time.Duration
 	alerted       bool       // the switch has sent ACM or CPG
 	cause         isup.Cause // of the far end's REL
 }
 
+// clientCallKey identifies an open call on a client's link.
 type clientCallKey struct {
 	link int32
 	opc  uint32
@@ -181,6 +189,7 @@
 	controller uint32
 }
 
+// groupKey identifies the trunk group from a controller to the switch of another exchange, by their point codes.
 type groupKey struct{ controller, sw uint32 }
 
 type circuitKey struct {
@@ -217,9 +226,10 @@
 	answerDelays     []time.Duration
 }
 
+// coldSwitch is a freshly started switch, with the set-ups that it received within the last ColdStart.Span.
 type coldSwitch struct {
-	at           time.Duration
-	warmRate     float64
+	at           time.Duration // of its start
+	warmRate     float64       // set-ups a second at full capacity
 	recentSetUps []time.Duration
 	violated     bool
 }
@@ -334,6 +344,7 @@
 	}
 }
 
+// end records the end of an attempt and frees its circuit. Two calls may be established on one circuit for at most a second.
 func (e *evaluator) end(k circuitKey, a *attempt, finalState attemptState, at time.Duration) {
 	if a.state == outstanding {
 		a.state, a.end = finalState, at
@@ -466,7 +477,7 @@
 	return c.outcomeAt
 }
 
-// excusedByStall tells whether the controller of a call was stalled while the call waited for its final answer.
+// excusedByStall reports whether the controller of a call was stalled while the call waited for its final answer.
 func (e *evaluator) excusedByStall(call *clientCall, until time.Duration) bool {
 	for _, stall := range e.stalls[call.controller] {
 		if stall.At <= until && stall.At+stall.Span+e.spec.Slack >= call.at {
@@ -715,7 +726,7 @@
 		classService.add(classSpec.Worth, earned)
 	}
 	first := true
-	for i, w := range windows {
+	for i, w := range windows { // windows with less than a quarter of the mean worth do not count
 		if w.Worth >= 0.25*e.report.Whole.Worth/float64(len(windows)) && (first || w.Share < e.report.WorstWindow.Share) {
 			first = false
 			e.report.WorstWindow, e.report.WorstFrom = w, time.Duration(i)*window
@@ -745,9 +756,9 @@
 	}
 }
 
-// unanswered tells whether the called number of an intent alerted within the aim and was never answered: a far end
-// released the call with cause 18 or 19, or it alerted for as long as its caller waits. Such a cause does not count if only
-// the controller reports it.
+// unanswered reports whether the called number of an intent alerted within the aim and was never answered: a far end
+// released the call with cause 18 or 19, or its caller's ringing time elapsed (up to a second earlier if the controller
+// released the call). A release with such a cause by the controller alone does not count.
 func (e *evaluator) unanswered(intent *callIntent) bool {
 	last := intent.calls[len(intent.calls)-1]
 	classSpec := e.spec.Classes[last.class]
--- a/check/check_test.go
+++ b/check/check_test.go
@@ -139,6 +139,7 @@
 	return Evaluate(builder.recording, spec)
 }
 
+// A rule that is checked too strictly reports violations of controllers that keep it.
 func TestValidRecordingsHaveNoViolations(t *testing.T) {
 	for name, builder := range map[string]*recordingBuilder{
 		"established":           newRecording().completedCall(sec, 1, 1).completedCall(2*sec, 2, 2),
@@ -172,7 +173,7 @@
 		if warm {
 			at = 16500 * ms
 		}
-		for i := range n { // the limit is 2 x 10/s x (0.4 and a little) x 3 s = 26
+		for i := range n { // the limit is 2 x 10/s x 0.44 x 3 s = 26, as the share has grown from 0.4 to 0.44
 			builder.refusedCall(at+time.Duration(i)*20*ms, uint32(i+1), uint16(i+1))
 		}
 		return builder
@@ -304,19 +305,20 @@
 		t.Fatal(report.Violations)
 	}
 	if report.Whole.Worth != 9 || report.Whole.Earned != 1+0.25+5 || report.Whole.Calls != 5 {
-		t.Errorf("%+v", report.Whole)
+		t.Errorf("whole service %+v, want 6.25 of 9 for 5 calls", report.Whole)
 	}
 	if report.Classes["b"].Share != 1 || report.Classes["a"].Share != 1.25/4 || report.WorstClass != "a" {
-		t.Errorf("%+v, worst %s", report.Classes, report.WorstClass)
+		t.Errorf("service by class %+v, worst %s; want 1.25 of 4 in a, the worst, and all in b", report.Classes, report.WorstClass)
 	}
 	if report.WorstWindow.Share != 0 || report.WorstFrom != 10*sec {
-		t.Errorf("%+v from %v", report.WorstWindow, report.WorstFrom)
+		t.Errorf("worst window %+v from %v, want share 0 from 10s", report.WorstWindow, report.WorstFrom)
 	}
 	if len(report.Faults) != 1 || report.Faults[0].Service.Calls != 1 || report.Faults[0].Service.Share != 0 {
-		t.Errorf("%+v", report.Faults)
+		t.Errorf("service during faults %+v, want one fault with one call and share 0", report.Faults)
 	}
 }
 
+// A trace must hold the selected frames only, one a line, and name the call in its IAM, by which operators search it.
 func TestTraceWritesSelectedFrames(t *testing.T) {
 	builder := newRecording().completedCall(sec, 1, 1)
 	var b bytes.Buffer
@@ -324,6 +326,6 @@
 		return link.Kind == record.FarLink
 	})
 	if got := strings.Count(b.String(), "\n"); got != 5 || !strings.Contains(b.String(), "call 900.1") {
-		t.Errorf("%s", b.String())
+		t.Errorf("trace, want 5 lines and call 900.1:\n%s", b.String())
 	}
 }
--- a/scenario/generate.go
+++ b/scenario/generate.go
@@ -83,7 +83,7 @@
 		scenario.Traffic.Load = between(0.8, 0.9)
 		n, kinds = 1, []FaultKind{FaultKind(kind[5:])}
 	default:
-		return nil, fmt.Errorf("%q is no kind of day; quiet, trouble, overload or only:KIND can be, KIND one of %v", kind, FaultKinds)
+		return nil, fmt.Errorf("%q is not one of quiet, trouble, overload and only:KIND, where KIND is one of %v", kind, FaultKinds)
 	}
 	for i := range n {
 		k := drawnKinds[rng.IntN(len(drawnKinds))]
--- a/scenario/hooks_test.go
+++ b/scenario/hooks_test.go
@@ -93,7 +93,7 @@
 func TestRefusingHookRefusesItsClass(t *testing.T) {
 	res := runScenario(t, loadPeak(), withHooks("on arrival {\n\tif call.class == \"map-tile\" {\n\t\trefuse(21)\n\t}\n}\n"))
 	if res.Report.Classes["map-tile"].Share != 0 || res.Report.Classes["storm-tile"].Share < 0.9 {
-		t.Errorf("%+v", res.Report.Classes)
+		t.Errorf("service by class %+v, want 0 for map-tile and at least 0.9 for storm-tile", res.Report.Classes)
 	}
 }
 
@@ -119,7 +119,7 @@
 		t.Errorf("%d hook swaps, want at least 100", swaps)
 	}
 	if c := hookCounters(res); c.HookAsked == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("the hooks were never called: %+v", c)
 	}
 }
 
@@ -130,10 +130,9 @@
 		texts = append(texts, e)
 	}
 	if len(texts) < 6 {
-		t.Fatalf("%d hooks on the page", len(texts))
+		t.Fatalf("%d hooks on the page, want at least 6", len(texts))
 	}
 	runScenario(t, loadPeak(), withHooks(texts...))
-
 }
 
 // documentedHooks returns the example programs of docs/operations/script.md: the indented blocks between two of its
@@ -199,7 +198,7 @@
 func TestDocumentedHooksDoAsDescribed(t *testing.T) {
 	page := documentedHooks(t)
 	if len(page) != 6 {
-		t.Fatalf("%d hooks on the page", len(page))
+		t.Fatalf("%d hooks on the page, want 6", len(page))
 	}
 	names := hooks.Names{Classes: []string{"map-tile", "storm-tile"}}
 	sets := make([]*hooks.Set, len(page))
@@ -239,7 +238,7 @@
 		}
 	}
 	if refused < 90 || refused > 110 { // ten a second over ten seconds
-		t.Errorf("%d of 200 calls to one number refused", refused)
+		t.Errorf("%d of 200 calls to one number refused, want about 100", refused)
 	}
 	if a := run(1, script.Arrival, with(func(c *script.Call) { c.Called = "820299999" })); a.Refuse != 0 {
 		t.Errorf("call to a number under the limit: %+v", a)
@@ -248,10 +247,10 @@
 		t.Errorf("storm call to a number over the limit: %+v", a)
 	}
 	if a := run(2, script.Route, plain); len(a.Exclude) != 1 || a.Exclude[0] != 104 {
-		t.Errorf("%+v", a)
+		t.Errorf("map-tile call: %+v, want exchange 104 excluded", a)
 	}
 	if a := run(2, script.Route, with(func(c *script.Call) { c.Class = "storm-tile" })); len(a.Exclude) != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("storm-tile call: %+v, want no exchange excluded", a)
 	}
 	for _, x := range []struct{ cause, exchange, want int }{{47, 103, 42}, {47, 102, 0}, {34, 103, 0}} {
 		if a := run(3, script.AttemptEnd, script.AttemptEndEvent(call, x.cause, x.exchange, true, time.Second)); a.TreatAs != x.want {
@@ -274,12 +273,12 @@
 		run(5, script.Arrival, plain)
 	}
 	if a := run(5, script.Every, script.EveryEvent(0, 0, 0, 0, 0, 0)); len(a.Logs) != 1 || a.Logs[0].Value != "9001 3" {
-		t.Errorf("%+v", a)
+		t.Errorf("every hook: %+v, want 9001 3 in the log", a)
 	}
 	if a := run(5, script.Final, script.FinalEvent(call, "failed", 102, 103, time.Second)); len(a.Logs) != 1 || a.Logs[0].Value != "103" {
-		t.Errorf("%+v", a)
+		t.Errorf("failed call: %+v, want 103 in the log", a)
 	}
 	if a := run(5, script.Final, script.FinalEvent(call, "stands", 0, 103, time.Second)); len(a.Logs) != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("established call: %+v, want nothing in the log", a)
 	}
 }
--- a/scenario/phases_test.go
+++ b/scenario/phases_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// A controller that offers 60% of all calls must have the same service as small ones.
+// A controller that offers 60% of all calls must not lose calls for its size: with it, the service is at least 95% as among
+// controllers of about equal size.
 func TestLargeControllerKeepsService(t *testing.T) {
 	scenario := NoFaults()
 	scenario.Network.BigExchange = 0.6
@@ -68,6 +69,6 @@
 		t.Fatalf("the large controller offers %.2f of all calls, want 0.60", s)
 	}
 	if res := runScenario(t, scenario); res.Report.Whole.Share < 0.95 {
-		t.Errorf("service %.3f", res.Report.Whole.Share)
+		t.Errorf("service %.3f, want at least 0.95", res.Report.Whole.Share)
 	}
 }
--- a/scenario/reset_test.go
+++ b/scenario/reset_test.go
@@ -28,7 +28,7 @@
 		for _, typ := range types {
 			for _, in := range []bool{true, false} {
 				for _, before := range []bool{true, false} {
-					name := fmt.Sprintf("%s/%v/in=%v/before=%v", []string{"client", "far", "own"}[kind], typ, in, before)
+					name := fmt.Sprintf("%s/%v/from-controller=%v/reset-before=%v", []string{"client", "far", "own"}[kind], typ, in, before)
 					t.Run(name, func(t *testing.T) {
 						resets, seen := 0, 0
 						scenario := smallScenario()
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -34,7 +34,7 @@
 	Engine func(policy.Config) (controller.Engine, error) // nil: the routing engine of package policy
 	// Slack is the checker's tolerance for the time between an action and its recording; see check.Spec.
 	Slack time.Duration
-	// GuardMargin is the time that controllers wait in addition to the guard of the rule, for the same reason.
+	// GuardMargin is added to the controllers' guard, so that delays of the recording do not shorten it below the rule's.
 	GuardMargin time.Duration
 	// Hooks are the scripts that every controller runs. HooksFor, if set, replaces them by scripts for each exchange.
 	Hooks    []hooks.Source
@@ -42,7 +42,7 @@
 	// FrameFault, if set, decides on a fault for each frame on the sockets of emulated switches and clients; u is nil for
 	// frames without an ISUP message. Calls are serialised.
 	FrameFault func(k record.LinkKind, fromController bool, m *m3ua.Message, u *isup.Message) emulator.FrameFault
-	// Deadline of hooks; 0: the default of the settings.
+	// Deadline is the deadline of hooks; 0: the default of the settings.
 	Deadline time.Duration
 	// Progress, if set, is called about every second with the time since the start.
 	Progress func(at time.Duration)
@@ -185,7 +185,7 @@
 	r.reportProgress(ctx)
 	r.scheduleFaults(ctx)
 	r.offerCalls(ctx)
-	settle := time.Duration(0)
+	settle := time.Duration(0) // the time in which the last calls are answered or abandoned
 	for _, c := range sc.Traffic.Classes {
 		settleTime := c.Patience + 500*time.Millisecond
 		if c.hasRinging() {
@@ -348,7 +348,7 @@
 			return ctx.Err()
 		}
 	}
-	return errors.New("scenario: the fleet has not come up within ten seconds")
+	return errors.New("scenario: a controller is not ready or a client not connected after 10 s")
 }
 
 // offerCalls offers every call at its time through its client.
@@ -432,7 +432,7 @@
 		}
 	}
 	region := func(i int) int { return r.plan.exchanges[i].region }
-	crossing := func(f func(i, j int)) { // for pairs of an affected exchange and one of another region
+	crossing := func(f func(i, j int)) { // calls f for every pair of an affected exchange and one of another region
 		for _, i := range targets {
 			for j := range r.switches {
 				if region(i) != region(j) {
--- a/scenario/scenario.go
+++ b/scenario/scenario.go
@@ -74,11 +74,11 @@
 	Name      string           `yaml:"name"`
 	Share     float64          `yaml:"share"`
 	Category  int              `yaml:"category"`
-	Aim       time.Duration    `yaml:"aim"`
+	Aim       time.Duration    `yaml:"aim"`      // a set-up that is complete later than this earns LateWorth only
 	Patience  time.Duration    `yaml:"patience"` // an unanswered call that does not alert is abandoned after this
 	GiveUp    time.Duration    `yaml:"give_up"`  // a set-up that is complete later than this earns nothing
 	Worth     float64          `yaml:"worth"`
-	LateWorth float64          `yaml:"late_worth"`
+	LateWorth float64          `yaml:"late_worth"` // as a share of Worth
 	Hold      time.Duration    `yaml:"hold"`
 	Ring      time.Duration    `yaml:"ring,omitempty"` // a call that alerts is abandoned after this; 0: a minute
 	Ringing   emulator.Ringing `yaml:"ringing,omitempty"`
@@ -90,7 +90,7 @@
 	Share float64 `yaml:"share"`
 }
 
-// Rules are the limits of the five rules.
+// Rules are the limits of the rules 3 to 5; see check.Violation.
 type Rules struct {
 	Guard      time.Duration `yaml:"guard"`
 	DrainGrace time.Duration `yaml:"drain_grace"`
@@ -115,13 +115,13 @@
 	Replace         FaultKind = "replace"           // switches drain, stop, and are replaced by cold ones at another address
 	Hang            FaultKind = "hang"              // switches accept set-ups and answer none
 	Slow            FaultKind = "slow"              // processors are size times as slow
-	Ageing          FaultKind = "ageing"            // processors slow down to size times, then crash and restart cold
+	Ageing          FaultKind = "ageing"            // processors become gradually size times as slow, then crash and restart cold
 	CircuitsLost    FaultKind = "circuits_lost"     // size: share of the circuits between a region and the others that fails
 	RegionCut       FaultKind = "region_cut"        // the network between a region and the others is interrupted
 	CallsCut        FaultKind = "calls_cut"         // size: share of the established calls that is cut at once
 	ControllerStall FaultKind = "controller_stall"  // controllers stall, like stopped processes
 	MassCalling     FaultKind = "mass_calling"      // size: share of all calls to one number with few lines
-	Impatient       FaultKind = "impatient"         // half of the first tenant's callers abandon after the share size of their time and redial at once
+	Impatient       FaultKind = "impatient"         // half of the first tenant's callers abandon after size times their patience and redial after 200 ms
 	ListLate        FaultKind = "list_late"         // size: seconds by which state updates are delayed
 	ListFlap        FaultKind = "list_flap"         // state updates report healthy exchanges as unavailable and available again
 	AssocReset      FaultKind = "association_reset" // associations of switches are reset
@@ -139,11 +139,11 @@
 // Fault is one injected fault.
 type Fault struct {
 	Kind     FaultKind     `yaml:"kind"`
-	At       time.Duration `yaml:"at"`
+	At       time.Duration `yaml:"at"` // since the start of the scenario
 	For      time.Duration `yaml:"for"`
 	Fraction float64       `yaml:"part,omitempty"` // share of the exchanges that are affected
 	Region   string        `yaml:"region,omitempty"`
-	Size     float64       `yaml:"size,omitempty"`
+	Size     float64       `yaml:"size,omitempty"` // its meaning depends on the kind
 }
 
 // Default returns the values of keys that a scenario file leaves out.
@@ -189,16 +189,18 @@
 
 func (sc *Scenario) check(checker *config.Checker) {
 	span := func(key string, x, from, to time.Duration) {
-		checker.Must(x >= from && x <= to, key, "%v; %v to %v can be", x, from, to)
+		checker.Must(x >= from && x <= to, key, "%v is not in the range of %v to %v", x, from, to)
+	}
+	share := func(key string, x float64) {
+		checker.Must(x >= 0 && x <= 1, key, "%v is not in the range of 0 to 1", x)
 	}
-	share := func(key string, x float64) { checker.Must(x >= 0 && x <= 1, key, "%v; 0 to 1 can be", x) }
 	between := func(key string, x, low, high float64) {
-		checker.Must(x >= low && x <= high, key, "%v; %v to %v can be", x, low, high)
+		checker.Must(x >= low && x <= high, key, "%v is not in the range of %v to %v", x, low, high)
 	}
 	span("length", sc.Length, time.Second, time.Hour)
 	f := sc.Network
-	checker.Must(f.Exchanges >= 2 && f.Exchanges <= 99, "fleet.exchanges", "%d; 2 to 99 can be", f.Exchanges)
-	checker.Must(len(f.Regions) >= 1 && len(f.Regions) <= f.Exchanges, "fleet.regions", "%d regions for %d exchanges", len(f.Regions), f.Exchanges)
+	checker.Must(f.Exchanges >= 2 && f.Exchanges <= 99, "fleet.exchanges", "%d is not in the range of 2 to 99", f.Exchanges)
+	checker.Must(len(f.Regions) >= 1 && len(f.Regions) <= f.Exchanges, "fleet.regions", "%d regions is not in the range of 1 to %d, the number of exchanges", len(f.Regions), f.Exchanges)
 	span("fleet.same_region", f.SameRegionDelay, 0, time.Second)
 	span("fleet.cross_region", f.CrossRegionDelay, 0, time.Second)
 	between("fleet.spare", f.SpareCircuits, 0, 100)
@@ -214,14 +216,14 @@
 	between("traffic.planned", t.Planned, 0.1, 100000)
 	between("traffic.load", t.Load, 0, 10)
 	share("traffic.swing", t.Swing)
-	checker.Must(t.Redials >= 0 && t.Redials <= 20, "traffic.redials", "%d; 0 to 20 can be", t.Redials)
-	checker.Must(len(t.Classes) > 0, "traffic.classes", "there is none")
+	checker.Must(t.Redials >= 0 && t.Redials <= 20, "traffic.redials", "%d is not in the range of 0 to 20", t.Redials)
+	checker.Must(len(t.Classes) > 0, "traffic.classes", "no class is given")
 	sum, categories := 0.0, map[int]bool{}
 	for i, c := range t.Classes {
 		key := func(k string) string { return fmt.Sprintf("traffic.classes[%d].%s", i, k) }
 		share(key("share"), c.Share)
 		sum += c.Share
-		checker.Must(!categories[c.Category] && c.Category >= 0 && c.Category < 256, key("category"), "%d is given twice or is no category", c.Category)
+		checker.Must(!categories[c.Category] && c.Category >= 0 && c.Category < 256, key("category"), "%d is another class's category or not in the range of 0 to 255", c.Category)
 		categories[c.Category] = true
 		span(key("aim"), c.Aim, time.Millisecond, time.Minute)
 		span(key("patience"), c.Patience, 200*time.Millisecond, time.Minute)
@@ -229,7 +231,7 @@
 		span(key("hold"), c.Hold, time.Millisecond, time.Hour)
 		between(key("worth"), c.Worth, 0.001, 1000)
 		share(key("late_worth"), c.LateWorth)
-		checker.Must(c.Patience >= c.Aim, key("patience"), "%v is under the aim of %v", c.Patience, c.Aim)
+		checker.Must(c.Patience >= c.Aim, key("patience"), "%v is below the aim of %v", c.Patience, c.Aim)
 		if c.Ring != 0 {
 			span(key("ring"), c.Ring, time.Second, 10*time.Minute)
 		}
@@ -237,18 +239,18 @@
 			checker.Errorf(key("ringing"), "%v", err)
 		}
 	}
-	checker.Must(sum > 0, "traffic.classes", "the shares add up to nothing")
+	checker.Must(sum > 0, "traffic.classes", "the sum of the shares is not above 0")
 	span("rules.guard", sc.Rules.Guard, 0, time.Minute)
 	span("rules.drain_grace", sc.Rules.DrainGrace, 0, time.Minute)
 	between("rules.cold.share", sc.Rules.ColdStart.Share, 0.01, 1)
 	between("rules.cold.multiple", sc.Rules.ColdStart.Multiple, 1, 100)
 	for i, x := range sc.Faults {
 		key := func(k string) string { return fmt.Sprintf("troubles[%d].%s", i, k) }
-		checker.Must(slices.Contains(FaultKinds, x.Kind), key("kind"), "%q; it can be one of %v", x.Kind, FaultKinds)
+		checker.Must(slices.Contains(FaultKinds, x.Kind), key("kind"), "%q is not one of %v", x.Kind, FaultKinds)
 		span(key("at"), x.At, 0, sc.Length)
 		span(key("for"), x.For, 0, time.Hour)
 		share(key("part"), x.Fraction)
-		checker.Must(x.Region == "" || slices.Contains(f.Regions, x.Region), key("region"), "there is no region %q", x.Region)
+		checker.Must(x.Region == "" || slices.Contains(f.Regions, x.Region), key("region"), "%q is not one of fleet.regions", x.Region)
 		switch x.Kind {
 		case LoadJump, Slow, Ageing, ClientFlood:
 			between(key("size"), x.Size, 1, 100)
@@ -276,11 +278,13 @@
 	destinationShares [][]float64 // share of an exchange's calls by destination
 }
 
-// randomSource returns a random source for one purpose, so that a change to one purpose leaves the others' values unchanged.
+// randomSource returns the random source for a purpose. Each purpose has its own, so that a change to its draws leaves the others' as
+// they are.
 func (sc *Scenario) randomSource(purpose uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(sc.Seed, purpose))
 }
 
+// Purposes of random sources.
 const (
 	purposePlan = iota + 1
 	purposeArrivals
@@ -294,6 +298,7 @@
 	f, t := sc.Network, sc.Traffic
 	n := f.Exchanges
 	p := &plan{originShares: make([]float64, n), destinationShares: make([][]float64, n)}
+	// logNormal draws from a log-normal distribution with mean 1 and a coefficient of variation.
 	logNormal := func(cv float64) float64 {
 		s := math.Sqrt(math.Log(1 + cv*cv))
 		return math.Exp(s*rng.NormFloat64() - s*s/2)
@@ -389,7 +394,7 @@
 	return candidates
 }
 
-// hasRinging tells whether numbers of the class ring before they answer.
+// hasRinging reports whether numbers of the class ring before they answer.
 func (c *Class) hasRinging() bool { return c.Ringing != emulator.Ringing{} }
 
 // ringLimit is how long callers of the class let a call ring.
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -22,7 +22,7 @@
 	pairs     = flag.Uint64("pairs", 0, "number of seeds of each kind, without ringing, whose service TestServiceOfScenarios prints")
 )
 
-// runScenario runs a scenario with a simulated clock and in-memory connections, and reports violations as errors.
+// runScenario runs a scenario on a simulated clock and in-memory connections, and reports violations as errors.
 func runScenario(t *testing.T, scenario *Scenario, change ...func(*Options)) Result {
 	t.Helper()
 	var res Result
@@ -52,7 +52,7 @@
 	res := runScenario(t, NoFaults())
 	t.Logf("%+v", res.Report.Whole)
 	if res.Report.Whole.Share < 0.95 {
-		t.Errorf("service %.3f", res.Report.Whole.Share)
+		t.Errorf("service %.3f, want at least 0.95", res.Report.Whole.Share)
 	}
 }
 
@@ -74,7 +74,7 @@
 				t.Fatal(err)
 			}
 			res := runScenario(t, scenario)
-			t.Logf("whole %.3f, worst 10 s %.3f, in it %+v", res.Report.Whole.Share, res.Report.WorstWindow.Share, res.Report.Faults[0].Service.Share)
+			t.Logf("whole %.3f, worst 10 s %.3f, during the fault %+v", res.Report.Whole.Share, res.Report.WorstWindow.Share, res.Report.Faults[0].Service.Share)
 		})
 	}
 }
@@ -160,7 +160,7 @@
 		"traffic: {classes: []}":                                 "traffic.classes",
 	} {
 		if _, err := Parse("d.yaml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: error %v", text, err)
 		}
 	}
 }
--- a/script/check.go
+++ b/script/check.go
@@ -172,7 +172,7 @@
 		case attribute.name == "memory" && v.kind == tInt && v.i >= 0 && v.i <= maxMemoryOctets:
 			d.memory = int(v.i)
 		default:
-			c.errorAt(attribute.pos, "@%s(%s) cannot be; @failure(default or refuse), @steps(1 to %d) and @memory(0 to %d) can", attribute.name, v.text, maxSteps, maxMemoryOctets)
+			c.errorAt(attribute.pos, "@%s(%s) cannot be; valid are @failure(default or refuse), @steps(1 to %d) and @memory(0 to %d)", attribute.name, v.text, maxSteps, maxMemoryOctets)
 		}
 	}
 }
@@ -265,7 +265,7 @@
 func (c *checker) declareLocal(name string, pos Pos, t Type) *local {
 	for _, s := range c.scopes {
 		if o, ok := s[name]; ok {
-			c.errorAt(pos, "%s is bound on line %d already", name, o.pos.Line)
+			c.errorAt(pos, "%s is declared on line %d already", name, o.pos.Line)
 		}
 	}
 	if p, ok := c.declared[name]; ok {
@@ -354,7 +354,7 @@
 			c.errorAt(s.pos, "a hook returns nothing")
 			c.expr(s.x)
 		case c.fn != nil && s.x == nil && c.fn.result.kind != kNone:
-			c.errorAt(s.pos, "%s returns %v", c.fn.name, c.fn.result)
+			c.errorAt(s.pos, "%s must return %v", c.fn.name, c.fn.result)
 		case c.fn != nil && s.x != nil && c.fn.result.kind == kNone:
 			c.errorAt(s.pos, "%s returns nothing", c.fn.name)
 		case s.x != nil:
@@ -383,7 +383,7 @@
 		switch r := to.ref.(type) {
 		case *local:
 			if r.readOnly {
-				c.errorAt(s.pos, "%s belongs to the loop and cannot be assigned", to.name)
+				c.errorAt(s.pos, "%s is a loop variable and cannot be assigned", to.name)
 			}
 		case *varDecl:
 			if c.fn != nil || c.hook != nil && c.hook.hook != Every && c.hook.hook != ListChange {
--- a/script/lint.go
+++ b/script/lint.go
@@ -185,7 +185,7 @@
 	for i, d := range g.checked.hooks {
 		switch h := g.p.Hooks[i]; {
 		case h.Cost == unbounded:
-			warn(d.pos, "how many steps this hook takes depends on values; it is stopped after %d", h.Steps)
+			warn(d.pos, "how many steps this hook takes depends on values; it is stopped after %d steps", h.Steps)
 		case h.Cost > h.Steps:
 			warn(d.pos, "this hook may take %d steps; it is stopped after %d", h.Cost, h.Steps)
 		}
--- a/script/parse.go
+++ b/script/parse.go
@@ -75,7 +75,6 @@
 	panic(abortDecl{})
 }
 
-// skipNewlines skips line ends.
 func (p *parser) skipNewlines() {
 	for p.peek().kind == tNewline {
 		p.index++
@@ -184,7 +183,7 @@
 				}
 				d.window = time.Duration(v.i)
 			default:
-				p.errorAt(o.pos, "%s is nothing that a %s can have; keys N%s can be", o, t.text, map[bool]string{true: " and window DURATION"}[t.text == "rate"])
+				p.errorAt(o.pos, "%s is nothing that a %s can have; valid are keys N%s", o, t.text, map[bool]string{true: " and window DURATION"}[t.text == "rate"])
 			}
 			if !p.accept(",") {
 				break
@@ -222,7 +221,7 @@
 		}
 		return mapOf(e)
 	}
-	p.errorAt(t.pos, "%s is no type; the types are int, float, bool, duration, string, pattern, list[T] and map[T]", t)
+	p.errorAt(t.pos, "%s is not a type; the types are int, float, bool, duration, string, pattern, list[T] and map[T]", t)
 	return tyNone
 }
 
@@ -390,7 +389,7 @@
 		p.enter(p.peek().pos)
 		defer p.leave()
 	}
-	if t := p.peek(); level == 2 && p.accept("not") { // binds more loosely than comparisons: not a == b is not (a == b)
+	if t := p.peek(); level == 2 && p.accept("not") { // not binds more loosely than comparisons: "not a == b" is "not (a == b)"
 		p.enter(t.pos)
 		defer p.leave()
 		return &unaryExpr{typed: typed{pos: t.pos}, op: "not", x: p.binary(2)}
@@ -456,9 +455,9 @@
 		if t.text == "true" || t.text == "false" {
 			return &litExpr{typed{pos: t.pos}, t}
 		}
-		// The names of types are no keywords: int(x) and float(x) are calls of conversions.
+		// The names of types are not keywords: int(x) and float(x) are calls of conversion functions.
 		if keywords[t.text] {
-			p.errorAt(t.pos, "%s is no value", t)
+			p.errorAt(t.pos, "%s is not a value", t)
 		}
 		if p.accept("(") {
 			return &callExpr{typed: typed{pos: t.pos}, name: t.text, args: p.args()}
@@ -506,6 +505,6 @@
 			return m
 		}
 	}
-	p.errorAt(t.pos, "%s is no value", t)
+	p.errorAt(t.pos, "%s is not a value", t)
 	return nil
 }
--- a/script/state.go
+++ b/script/state.go
@@ -98,8 +98,7 @@
 
 // Rates counts events by key over a sliding window, for a bounded number of keys. It is a set-associative table: a new key
 // replaces the least frequent of the eight entries of its set. A key's count over the sliding window is the count of the current
-// fixed window plus that of the previous one, weighted by the part of the current one that is left. An entry takes 24 octets at
-// any rate.
+// fixed window plus that of the previous one, weighted by the part of the current one that is left. An entry takes 24 octets.
 type Rates struct {
 	window time.Duration
 	mu     sync.Mutex
--- a/script/vm.go
+++ b/script/vm.go
@@ -187,8 +187,8 @@
 }
 
 // run is the interpreter. Every instruction costs one step; work on lists, strings, rates and tops costs further steps by its
-// size, such as one for 16 elements or 64 octets, so that the step budget bounds the time. Values that are made cost memory in
-// octets, roughly: 48 for a list, 8 for a number, 24 for a reference. Empty message and nil err: the run succeeded.
+// size, such as one for 16 elements or 64 octets, so that the step budget bounds the time. New values cost memory, in octets
+// roughly 48 for a list, 8 for a number and 24 for a reference. The run has succeeded if message is empty and err is nil.
 func (vm *VM) run(p *Program, fn *function, event *Event, state *State, vars *varSet, now time.Duration, res *Result, stepsLeft, memoryLeft int) (line int, message string, err error) {
 	stepBudget, memoryBudget := stepsLeft, memoryLeft
 	pc, baseN, baseR := 0, 0, 0
