--- a/check/check.go
+++ b/check/check.go
@@ -290,7 +290,7 @@
 	return e.report
 }
 
-func (e *evaluator) violated(rule int, at time.Duration, controller uint32, reference callRef, format string, args ...any) {
+func (e *evaluator) addViolation(rule int, at time.Duration, controller uint32, reference callRef, format string, args ...any) {
 	e.report.Violations = append(e.report.Violations, Violation{rule, at, controller, reference.String(), fmt.Sprintf(format, args...)})
 }
 
@@ -353,7 +353,7 @@
 		a.established = false
 		if peer := e.circuits[circuitKey{groupKey{k.sw, k.controller}, k.cic}]; peer != nil && peer.established {
 			if bothSince := max(a.establishedAt, peer.establishedAt); at-bothSince > time.Second {
-				e.violated(6, at, a.controller, a.callRef, "it and call %v stood on circuit %d between %d and %d for %v", peer.callRef, k.cic, k.controller, k.sw, at-bothSince)
+				e.addViolation(6, at, a.controller, a.callRef, "it and call %v stood on circuit %d between %d and %d for %v", peer.callRef, k.cic, k.controller, k.sw, at-bothSince)
 			}
 		}
 	}
@@ -405,7 +405,7 @@
 					e.report.Abandoned++
 				}
 				if e.overdueBy(call, frame.At) >= 0 && !e.excusedByStall(call, frame.At) {
-					e.violated(1, frame.At, clientLink.Controller, call.callRef, "no final answer before its caller gave up after %v", frame.At-call.at)
+					e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "no final answer before its caller gave up after %v", frame.At-call.at)
 				}
 			}
 		}
@@ -413,7 +413,7 @@
 	}
 	if call == nil {
 		if m.Type == isup.ANM || m.Type == isup.CON || m.Type == isup.ACM || m.Type == isup.CPG || m.Type == isup.REL {
-			e.violated(1, frame.At, clientLink.Controller, callRef{}, "%v on circuit %d, where no call is", m.Type, m.CIC)
+			e.addViolation(1, frame.At, clientLink.Controller, callRef{}, "%v on circuit %d, where no call is", m.Type, m.CIC)
 		}
 		return
 	}
@@ -422,17 +422,17 @@
 		call.cleared = true
 	case isup.ACM, isup.CPG:
 		if call.cleared || call.outcome != pending {
-			e.violated(1, frame.At, clientLink.Controller, call.callRef, "%v after its end", m.Type)
+			e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "%v after its end", m.Type)
 		} else if call.alertedAt == 0 {
 			call.alertedAt = frame.At
 			e.report.Alerted++
 			if !slices.ContainsFunc(e.attempts[attemptKey{call.callRef, clientLink.Controller}], func(a *attempt) bool { return a.alerted }) {
-				e.violated(1, frame.At, clientLink.Controller, call.callRef, "%v though no switch has said so: its caller waits for nothing", m.Type)
+				e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "%v though no switch has said so: its caller waits for nothing", m.Type)
 			}
 		}
 	case isup.ANM, isup.CON:
 		if call.cleared || call.outcome != pending {
-			e.violated(1, frame.At, clientLink.Controller, call.callRef, "%v after a final answer", m.Type)
+			e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "%v after a final answer", m.Type)
 			return
 		}
 		call.outcome, call.outcomeAt = established, frame.At
@@ -442,12 +442,12 @@
 	case isup.REL:
 		switch {
 		case call.cleared || call.controllerReleased || call.outcome == refused:
-			e.violated(1, frame.At, clientLink.Controller, call.callRef, "REL after a final answer")
+			e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "REL after a final answer")
 		case call.outcome == pending:
 			call.outcome, call.outcomeAt, call.cause = refused, frame.At, m.Cause
 			e.report.Refused++
 			if overdue := e.overdueBy(call, frame.At); call.clientReleasedAt == 0 && overdue > e.spec.Slack && !e.excusedByStall(call, frame.At) {
-				e.violated(1, frame.At, clientLink.Controller, call.callRef, "its final answer came %v after its caller's time", overdue)
+				e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "its final answer came %v after its caller's time", overdue)
 			}
 		default:
 			call.controllerReleased = true
@@ -562,22 +562,22 @@
 	for _, previous := range e.attempts[attemptsKey] {
 		switch {
 		case previous.state == outstanding:
-			e.violated(2, at, circuit.controller, reference, "sent to %d while its attempt to %d of %v before is out", circuit.sw, previous.sw, at-previous.at)
+			e.addViolation(2, at, circuit.controller, reference, "sent to %d while its attempt to %d of %v before is out", circuit.sw, previous.sw, at-previous.at)
 		case (previous.state == released || previous.state == lost) && at-previous.end < e.spec.Guard-e.spec.Slack:
-			e.violated(5, at, circuit.controller, reference, "sent to %d only %v after its attempt to %d on circuit %d was %v", circuit.sw, at-previous.end, previous.sw, previous.cic, previous.state)
+			e.addViolation(5, at, circuit.controller, reference, "sent to %d only %v after its attempt to %d on circuit %d was %v", circuit.sw, at-previous.end, previous.sw, previous.cic, previous.state)
 		case previous.state == answered:
-			e.violated(1, at, circuit.controller, reference, "sent to %d after it stood", circuit.sw)
+			e.addViolation(1, at, circuit.controller, reference, "sent to %d after it stood", circuit.sw)
 		}
 	}
 	if c := e.byRef[reference]; c != nil && c.controller == circuit.controller {
 		if c.outcome != pending && at > c.outcomeAt+e.spec.Slack {
-			e.violated(1, at, circuit.controller, reference, "sent to %d %v after its final answer", circuit.sw, at-c.outcomeAt)
+			e.addViolation(1, at, circuit.controller, reference, "sent to %d %v after its final answer", circuit.sw, at-c.outcomeAt)
 		} else if c.clientReleasedAt > 0 && at > c.clientReleasedAt+e.spec.Slack+e.stalledFor(circuit.controller, c.clientReleasedAt, at) {
-			e.violated(1, at, circuit.controller, reference, "sent to %d %v after its caller left", circuit.sw, at-c.clientReleasedAt)
+			e.addViolation(1, at, circuit.controller, reference, "sent to %d %v after its caller left", circuit.sw, at-c.clientReleasedAt)
 		}
 	}
 	if since, known := e.unavailableSince[circuit.groupKey]; known && at > since+e.spec.DrainGrace+e.spec.Slack {
-		e.violated(3, at, circuit.controller, reference, "sent to %d %v after word that it drains or is gone", circuit.sw, at-since)
+		e.addViolation(3, at, circuit.controller, reference, "sent to %d %v after word that it drains or is gone", circuit.sw, at-since)
 	}
 	if c := e.coldSwitches[circuit.sw]; c != nil && at < c.at+e.spec.ColdStart.WarmUp && e.spec.ColdStart.Multiple > 0 {
 		c.recentSetUps = append(c.recentSetUps, at)
@@ -588,7 +588,7 @@
 		limit := e.spec.ColdStart.Multiple * c.warmRate * (e.spec.ColdStart.Share + (1-e.spec.ColdStart.Share)*progress) * e.spec.ColdStart.Span.Seconds()
 		if float64(len(c.recentSetUps)) > limit && !c.violated {
 			c.violated = true
-			e.violated(4, at, circuit.controller, reference, "%d set-ups within %v reached switch %d, started %v before; %.0f can be", len(c.recentSetUps), e.spec.ColdStart.Span, circuit.sw, at-c.at, limit)
+			e.addViolation(4, at, circuit.controller, reference, "%d set-ups within %v reached switch %d, started %v before; %.0f can be", len(c.recentSetUps), e.spec.ColdStart.Span, circuit.sw, at-c.at, limit)
 		}
 	}
 	if peer := e.circuits[circuitKey{groupKey{circuit.sw, circuit.controller}, circuit.cic}]; peer != nil && peer.state == outstanding {
@@ -642,12 +642,12 @@
 		call.alerted = true
 	case isup.ANM, isup.CON:
 		if call.outcome != pending {
-			e.violated(1, frame.At, link.Controller, call.callRef, "in transit: %v after a final answer", m.Type)
+			e.addViolation(1, frame.At, link.Controller, call.callRef, "in transit: %v after a final answer", m.Type)
 		}
 		call.outcome = established
 	case isup.REL:
 		if call.outcome == refused {
-			e.violated(1, frame.At, link.Controller, call.callRef, "in transit: REL after a final answer")
+			e.addViolation(1, frame.At, link.Controller, call.callRef, "in transit: REL after a final answer")
 		}
 		call.outcome = refused
 	case isup.RSC:
@@ -659,7 +659,7 @@
 func (e *evaluator) finish() {
 	for _, call := range e.calls {
 		if call.outcome == pending && call.clientReleasedAt == 0 && !call.lost && e.overdueBy(call, e.recording.End) > e.spec.Slack && !e.excusedByStall(call, e.recording.End) {
-			e.violated(1, e.recording.End, call.controller, call.callRef, "no final answer at all")
+			e.addViolation(1, e.recording.End, call.controller, call.callRef, "no final answer at all")
 		}
 	}
 	for k, inTransit := range e.transits {
@@ -668,7 +668,7 @@
 			limit += e.spec.Classes[inTransit.class].Ring
 		}
 		if inTransit.outcome == pending && e.recording.End-inTransit.at > limit {
-			e.violated(1, e.recording.End, k.controller, inTransit.callRef, "in transit: neither answered nor released")
+			e.addViolation(1, e.recording.End, k.controller, inTransit.callRef, "in transit: neither answered nor released")
 		}
 	}
 	slices.SortStableFunc(e.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
--- a/check/trace.go
+++ b/check/trace.go
@@ -20,11 +20,11 @@
 			continue
 		}
 		link := recording.Links[f.Link]
-		part := &user
+		isupMessage := &user
 		if message.Kind != m3ua.DATA || isup.Decode(message.Data.User, &user) != nil {
-			part = nil
+			isupMessage = nil
 		}
-		if !keep(link, &message, part) {
+		if !keep(link, &message, isupMessage) {
 			continue
 		}
 		side, arrow := fmt.Sprintf("switch %d", link.Switch), "<-"
@@ -35,7 +35,7 @@
 			arrow = "->"
 		}
 		text := fmt.Sprint(message.Kind, message.Affected)
-		if part != nil {
+		if isupMessage != nil {
 			text = fmt.Sprintf("%d>%d circuit %d %v", message.Data.OPC, message.Data.DPC, user.CIC, user.Type)
 			switch user.Type {
 			case isup.IAM:
--- a/scenario/hooks_test.go
+++ b/scenario/hooks_test.go
@@ -58,12 +58,12 @@
 // A hook that misbehaves on all controllers during a load peak must neither make them break a rule nor cost more service
 // than the random difference between two runs, at most 0.05.
 func TestMisbehavingHooksCostNoService(t *testing.T) {
-	plain := runScenario(t, loadPeak())
+	withoutHook := runScenario(t, loadPeak())
 	for name, text := range misbehavingHooks {
 		t.Run(name, func(t *testing.T) {
 			res := runScenario(t, loadPeak(), withHooks(text))
-			if difference := res.Report.Whole.Share - plain.Report.Whole.Share; difference < -0.05 {
-				t.Errorf("service %.3f, without the hook %.3f", res.Report.Whole.Share, plain.Report.Whole.Share)
+			if difference := res.Report.Whole.Share - withoutHook.Report.Whole.Share; difference < -0.05 {
+				t.Errorf("service %.3f, without the hook %.3f", res.Report.Whole.Share, withoutHook.Report.Whole.Share)
 			}
 			if hookCounters(res).HookAsked == 0 {
 				t.Error("the hook was never called")
@@ -170,8 +170,8 @@
 	if *hookSeeds == 0 {
 		t.Skip("a measurement: go test ./scenario -run HookService -v -args -hookdays 40")
 	}
-	good := "rate dialled(window 10s, keys 5000)\ntop talkers(keys 200)\non arrival {\n\tdialled.add(call.called)\n\ttalkers.add(call.calling)\n\tmatch call.called {\n\t\t820100* -> tag(\"storm desk\")\n\t}\n}\non attempt_end {\n\tif end.cause == 47 {\n\t\ttreat_as(42)\n\t}\n}\n"
-	kinds := []struct{ name, text string }{{"no hook", ""}, {"no hook, again", ""}, {"typical", good}, {"endless loop", misbehavingHooks["endless loop"]}, {"always fails", misbehavingHooks["always fails"]}, {"allocates without limit", misbehavingHooks["allocates without limit"]}}
+	typicalHook := "rate dialled(window 10s, keys 5000)\ntop talkers(keys 200)\non arrival {\n\tdialled.add(call.called)\n\ttalkers.add(call.calling)\n\tmatch call.called {\n\t\t820100* -> tag(\"storm desk\")\n\t}\n}\non attempt_end {\n\tif end.cause == 47 {\n\t\ttreat_as(42)\n\t}\n}\n"
+	kinds := []struct{ name, text string }{{"no hook", ""}, {"no hook, again", ""}, {"typical", typicalHook}, {"endless loop", misbehavingHooks["endless loop"]}, {"always fails", misbehavingHooks["always fails"]}, {"allocates without limit", misbehavingHooks["allocates without limit"]}}
 	for _, k := range kinds {
 		var sum, sumOfSquares, p99 float64
 		for seed := range *hookSeeds {
@@ -222,18 +222,18 @@
 		f(&c)
 		return script.CallEvent(c)
 	}
-	plain := script.CallEvent(call)
+	ordinaryCall := script.CallEvent(call)
 	for _, n := range []string{"820100001", "8203712"} {
 		if a := run(0, script.Arrival, with(func(c *script.Call) { c.Called = n })); a.Class != "storm-tile" || len(a.Tags) != 1 {
 			t.Errorf("call to storm desk number %s: %+v", n, a)
 		}
 	}
-	if a := run(0, script.Arrival, plain); a.Class != "" {
+	if a := run(0, script.Arrival, ordinaryCall); a.Class != "" {
 		t.Errorf("call to another number: %+v", a)
 	}
 	refused := 0
 	for range 200 {
-		if run(1, script.Arrival, plain).Refuse == 42 {
+		if run(1, script.Arrival, ordinaryCall).Refuse == 42 {
 			refused++
 		}
 	}
@@ -246,7 +246,7 @@
 	if a := run(1, script.Arrival, with(func(c *script.Call) { c.Class = "storm-tile" })); a.Refuse != 0 {
 		t.Errorf("storm call to a number over the limit: %+v", a)
 	}
-	if a := run(2, script.Route, plain); len(a.Exclude) != 1 || a.Exclude[0] != 104 {
+	if a := run(2, script.Route, ordinaryCall); len(a.Exclude) != 1 || a.Exclude[0] != 104 {
 		t.Errorf("map-tile call: %+v, want exchange 104 excluded", a)
 	}
 	if a := run(2, script.Route, with(func(c *script.Call) { c.Class = "storm-tile" })); len(a.Exclude) != 0 {
@@ -257,20 +257,20 @@
 			t.Errorf("cause %d from exchange %d treated as %d", x.cause, x.exchange, a.TreatAs)
 		}
 	}
-	second := with(func(c *script.Call) { c.Category = 12 })
+	category12Call := with(func(c *script.Call) { c.Category = 12 })
 	for _, x := range []struct{ waiting, want int }{{10, 0}, {300, 42}, {10, 0}} {
 		var a hooks.Advice
 		ev := script.EveryEvent(x.waiting, 0, 0, 0, 0, 0)
 		r.Run(sets[4], script.Every, &ev, time.Hour, &a)
-		if got := run(4, script.Arrival, second).Refuse; got != x.want {
+		if got := run(4, script.Arrival, category12Call).Refuse; got != x.want {
 			t.Errorf("with %d calls waiting: refused with %d", x.waiting, got)
 		}
-		if run(4, script.Arrival, plain).Refuse != 0 {
+		if run(4, script.Arrival, ordinaryCall).Refuse != 0 {
 			t.Error("a call of another category is refused")
 		}
 	}
 	for range 3 {
-		run(5, script.Arrival, plain)
+		run(5, script.Arrival, ordinaryCall)
 	}
 	if a := run(5, script.Every, script.EveryEvent(0, 0, 0, 0, 0, 0)); len(a.Logs) != 1 || a.Logs[0].Value != "9001 3" {
 		t.Errorf("every hook: %+v, want 9001 3 in the log", a)
--- a/scenario/reset_test.go
+++ b/scenario/reset_test.go
@@ -26,22 +26,22 @@
 	types := []isup.Type{isup.IAM, isup.ACM, isup.ANM, isup.REL, isup.RLC}
 	for _, kind := range []record.LinkKind{record.ClientLink, record.FarLink, record.OwnLink} {
 		for _, typ := range types {
-			for _, in := range []bool{true, false} {
-				for _, before := range []bool{true, false} {
-					name := fmt.Sprintf("%s/%v/from-controller=%v/reset-before=%v", []string{"client", "far", "own"}[kind], typ, in, before)
+			for _, wantFromController := range []bool{true, false} {
+				for _, resetBefore := range []bool{true, false} {
+					name := fmt.Sprintf("%s/%v/from-controller=%v/reset-before=%v", []string{"client", "far", "own"}[kind], typ, wantFromController, resetBefore)
 					t.Run(name, func(t *testing.T) {
 						resets, seen := 0, 0
 						scenario := smallScenario()
 						res := runScenario(t, scenario, func(o *Options) {
 							o.FrameFault = func(k record.LinkKind, fromController bool, m *m3ua.Message, u *isup.Message) emulator.FrameFault {
-								if k != kind || fromController != in || u == nil || u.Type != typ {
+								if k != kind || fromController != wantFromController || u == nil || u.Type != typ {
 									return emulator.Pass
 								}
 								if seen++; seen%7 != 0 { // or no call would be established
 									return emulator.Pass
 								}
 								resets++
-								if before {
+								if resetBefore {
 									return emulator.ResetBefore
 								}
 								return emulator.ResetAfter
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -47,7 +47,7 @@
 	// Progress, if set, is called about every second with the time since the start.
 	Progress func(at time.Duration)
 	// During, if set, runs concurrently with the scenario, for example to do what operators do.
-	During func(ctx context.Context, d []*daemon.Daemon)
+	During func(ctx context.Context, daemons []*daemon.Daemon)
 }
 
 // Result is the result of a run.
@@ -102,10 +102,10 @@
 }
 
 // settings returns the settings of the controller of exchange self.
-func (sc *Scenario) settings(p *plan, self int, addrs [][]string, margin time.Duration) (*config.Config, error) {
+func (sc *Scenario) settings(p *plan, self int, addrs [][]string, guardMargin time.Duration) (*config.Config, error) {
 	cfg := config.Default()
 	cfg.Exchange, cfg.Listen, cfg.Seed = p.exchanges[self].pointCode, "127.0.0.1:0", sc.Seed+uint64(self)
-	cfg.Guard, cfg.RetransmitAfter, cfg.MaxAttempts, cfg.OverQuotaWorth = sc.Rules.Guard+margin, sc.Network.Switch.Repeat, 4, 0.1
+	cfg.Guard, cfg.RetransmitAfter, cfg.MaxAttempts, cfg.OverQuotaWorth = sc.Rules.Guard+guardMargin, sc.Network.Switch.Repeat, 4, 0.1
 	cfg.ColdStart = config.ColdStart{WarmUp: sc.Rules.ColdStart.WarmUp, Share: sc.Rules.ColdStart.Share, CrashMultiple: sc.Rules.ColdStart.Multiple, CrashSpan: sc.Rules.ColdStart.Span}
 	cfg.Timers = config.Timers{T1: 4 * time.Second, T5: 20 * time.Second, T7: 20 * time.Second, T9: 90 * time.Second, T16: 4 * time.Second, T28: 2 * time.Second, SignallingHold: 8 * time.Second}
 	cfg.Association.Ack, cfg.Association.Beat, cfg.Association.BeatLimit = time.Second, time.Second, 3*time.Second
@@ -398,28 +398,28 @@
 // scheduleFaults starts every fault at its time.
 func (r *runner) scheduleFaults(ctx context.Context) {
 	var lateUpdates []Fault
-	for _, x := range r.scenario.Faults {
-		if x.Kind == ListLate {
-			lateUpdates = append(lateUpdates, x)
+	for _, fault := range r.scenario.Faults {
+		if fault.Kind == ListLate {
+			lateUpdates = append(lateUpdates, fault)
 		}
 	}
 	r.updateDelay = func(at time.Duration) (d time.Duration) {
-		for _, x := range lateUpdates {
-			if at >= x.At && at < x.At+x.For {
-				d += time.Duration(x.Size * float64(time.Second))
+		for _, fault := range lateUpdates {
+			if at >= fault.At && at < fault.At+fault.For {
+				d += time.Duration(fault.Size * float64(time.Second))
 			}
 		}
 		return d
 	}
-	for k, x := range r.scenario.Faults {
+	for k, fault := range r.scenario.Faults {
 		rng := rand.New(rand.NewPCG(r.scenario.Seed, uint64(purposeFaults*1000+k)))
-		targets := r.scenario.drawTargets(r.plan, x, rng)
+		targets := r.scenario.drawTargets(r.plan, fault, rng)
 		r.spawn(func() {
-			if !sleep(ctx, x.At) {
+			if !sleep(ctx, fault.At) {
 				return
 			}
-			r.recording.Event(record.Event{Kind: record.Fault, Name: string(x.Kind), Span: x.For})
-			r.injectFault(ctx, x, targets, rng)
+			r.recording.Event(record.Event{Kind: record.Fault, Name: string(fault.Kind), Span: fault.For})
+			r.injectFault(ctx, fault, targets, rng)
 		})
 	}
 }
--- a/scenario/scenario.go
+++ b/scenario/scenario.go
@@ -198,28 +198,28 @@
 		checker.Must(x >= low && x <= high, key, "%v is not in the range of %v to %v", x, low, high)
 	}
 	span("length", sc.Length, time.Second, time.Hour)
-	f := sc.Network
-	checker.Must(f.Exchanges >= 2 && f.Exchanges <= 99, "fleet.exchanges", "%d is not in the range of 2 to 99", f.Exchanges)
-	checker.Must(len(f.Regions) >= 1 && len(f.Regions) <= f.Exchanges, "fleet.regions", "%d regions is not in the range of 1 to %d, the number of exchanges", len(f.Regions), f.Exchanges)
-	span("fleet.same_region", f.SameRegionDelay, 0, time.Second)
-	span("fleet.cross_region", f.CrossRegionDelay, 0, time.Second)
-	between("fleet.spare", f.SpareCircuits, 0, 100)
-	between("fleet.missed", f.PlanError, 0, 2)
-	between("fleet.unlinked", f.Unlinked, 0, 0.6)
-	between("fleet.switch.use", f.Switch.Utilisation, 0.01, 1)
-	between("fleet.switch.follow_work", f.Switch.FollowWork, 0, 10)
-	between("fleet.switch.reject_work", f.Switch.RejectWork, 0, 10)
-	between("fleet.switch.repeat_work", f.Switch.RepeatWork, 0, 10)
-	share("fleet.switch.hang_up", f.Switch.HangUp)
-	between("fleet.big", f.BigExchange, 0, 0.95)
-	t := sc.Traffic
-	between("traffic.planned", t.Planned, 0.1, 100000)
-	between("traffic.load", t.Load, 0, 10)
-	share("traffic.swing", t.Swing)
-	checker.Must(t.Redials >= 0 && t.Redials <= 20, "traffic.redials", "%d is not in the range of 0 to 20", t.Redials)
-	checker.Must(len(t.Classes) > 0, "traffic.classes", "no class is given")
+	network := sc.Network
+	checker.Must(network.Exchanges >= 2 && network.Exchanges <= 99, "fleet.exchanges", "%d is not in the range of 2 to 99", network.Exchanges)
+	checker.Must(len(network.Regions) >= 1 && len(network.Regions) <= network.Exchanges, "fleet.regions", "%d regions is not in the range of 1 to %d, the number of exchanges", len(network.Regions), network.Exchanges)
+	span("fleet.same_region", network.SameRegionDelay, 0, time.Second)
+	span("fleet.cross_region", network.CrossRegionDelay, 0, time.Second)
+	between("fleet.spare", network.SpareCircuits, 0, 100)
+	between("fleet.missed", network.PlanError, 0, 2)
+	between("fleet.unlinked", network.Unlinked, 0, 0.6)
+	between("fleet.switch.use", network.Switch.Utilisation, 0.01, 1)
+	between("fleet.switch.follow_work", network.Switch.FollowWork, 0, 10)
+	between("fleet.switch.reject_work", network.Switch.RejectWork, 0, 10)
+	between("fleet.switch.repeat_work", network.Switch.RepeatWork, 0, 10)
+	share("fleet.switch.hang_up", network.Switch.HangUp)
+	between("fleet.big", network.BigExchange, 0, 0.95)
+	traffic := sc.Traffic
+	between("traffic.planned", traffic.Planned, 0.1, 100000)
+	between("traffic.load", traffic.Load, 0, 10)
+	share("traffic.swing", traffic.Swing)
+	checker.Must(traffic.Redials >= 0 && traffic.Redials <= 20, "traffic.redials", "%d is not in the range of 0 to 20", traffic.Redials)
+	checker.Must(len(traffic.Classes) > 0, "traffic.classes", "no class is given")
 	sum, categories := 0.0, map[int]bool{}
-	for i, c := range t.Classes {
+	for i, c := range traffic.Classes {
 		key := func(k string) string { return fmt.Sprintf("traffic.classes[%d].%s", i, k) }
 		share(key("share"), c.Share)
 		sum += c.Share
@@ -250,7 +250,7 @@
 		span(key("at"), x.At, 0, sc.Length)
 		span(key("for"), x.For, 0, time.Hour)
 		share(key("part"), x.Fraction)
-		checker.Must(x.Region == "" || slices.Contains(f.Regions, x.Region), key("region"), "%q is not one of fleet.regions", x.Region)
+		checker.Must(x.Region == "" || slices.Contains(network.Regions, x.Region), key("region"), "%q is not one of fleet.regions", x.Region)
 		switch x.Kind {
 		case LoadJump, Slow, Ageing, ClientFlood:
 			between(key("size"), x.Size, 1, 100)
@@ -295,8 +295,8 @@
 
 func (sc *Scenario) plan() *plan {
 	rng := sc.randomSource(purposePlan)
-	f, t := sc.Network, sc.Traffic
-	n := f.Exchanges
+	network, traffic := sc.Network, sc.Traffic
+	n := network.Exchanges
 	p := &plan{originShares: make([]float64, n), destinationShares: make([][]float64, n)}
 	// logNormal draws from a log-normal distribution with mean 1 and a coefficient of variation.
 	logNormal := func(cv float64) float64 {
@@ -304,20 +304,20 @@
 		return math.Exp(s*rng.NormFloat64() - s*s/2)
 	}
 	for i := range n {
-		p.exchanges = append(p.exchanges, &exchange{pointCode: uint32(101 + i), region: i * len(f.Regions) / n, prefix: fmt.Sprintf("82%02d", i), circuits: map[uint32]int{}})
+		p.exchanges = append(p.exchanges, &exchange{pointCode: uint32(101 + i), region: i * len(network.Regions) / n, prefix: fmt.Sprintf("82%02d", i), circuits: map[uint32]int{}})
 		p.originShares[i] = logNormal(0.2)
 	}
 	total := 0.0
 	for _, s := range p.originShares {
 		total += s
 	}
-	if f.BigExchange > 0 { // one large exchange among small ones
+	if network.BigExchange > 0 { // one large exchange among small ones
 		othersTotal := total - p.originShares[0]
-		p.originShares[0] = f.BigExchange / (1 - f.BigExchange) * othersTotal
+		p.originShares[0] = network.BigExchange / (1 - network.BigExchange) * othersTotal
 		total = othersTotal + p.originShares[0]
 	}
 	hold, shares := 0.0, 0.0
-	for _, c := range t.Classes {
+	for _, c := range traffic.Classes {
 		// Ringing occupies the circuits too; the mean of a log-normal distribution is above its median.
 		ring := c.Ringing.Median.Seconds() * math.Exp(c.Ringing.Spread*c.Ringing.Spread/2)
 		ring = ring*(1-c.Ringing.NoAnswer-c.Ringing.Busy) + c.ringLimit().Seconds()*c.Ringing.NoAnswer
@@ -350,21 +350,21 @@
 	for i := range n {
 		incomingRate := 0.0
 		for j := range n {
-			incomingRate += t.Planned * p.originShares[j] * p.destinationShares[j][i]
+			incomingRate += traffic.Planned * p.originShares[j] * p.destinationShares[j][i]
 			if j > i {
-				offeredLoad := hold * t.Planned * (p.originShares[i]*p.destinationShares[i][j] + p.originShares[j]*p.destinationShares[j][i])
-				groups = append(groups, groupPlan{i, j, offeredLoad * logNormal(f.PlanError)})
+				offeredLoad := hold * traffic.Planned * (p.originShares[i]*p.destinationShares[i][j] + p.originShares[j]*p.destinationShares[j][i])
+				groups = append(groups, groupPlan{i, j, offeredLoad * logNormal(network.PlanError)})
 			}
 		}
 		// Each call costs the processor a set-up, an answer and a release.
-		p.exchanges[i].setUpRate = incomingRate * (1 + 2*f.Switch.FollowWork) / f.Switch.Utilisation
+		p.exchanges[i].setUpRate = incomingRate * (1 + 2*network.Switch.FollowWork) / network.Switch.Utilisation
 	}
 	slices.SortFunc(groups, func(a, b groupPlan) int { return cmp.Compare(a.plannedLoad, b.plannedLoad) })
 	for k, group := range groups {
-		if k < int(f.Unlinked*float64(len(groups))) && n > 3 { // the pairs with the least load; up to three exchanges every pair is needed for tandem routes
+		if k < int(network.Unlinked*float64(len(groups))) && n > 3 { // the pairs with the least load; up to three exchanges every pair is needed for tandem routes
 			continue
 		}
-		size := max(2, int(math.Ceil(group.plannedLoad+f.SpareCircuits*math.Sqrt(group.plannedLoad))))
+		size := max(2, int(math.Ceil(group.plannedLoad+network.SpareCircuits*math.Sqrt(group.plannedLoad))))
 		size = min(size, isup.MaxCIC)
 		p.exchanges[group.i].circuits[p.exchanges[group.j].pointCode] = size
 		p.exchanges[group.j].circuits[p.exchanges[group.i].pointCode] = size
@@ -422,7 +422,7 @@
 // arrivals draws all calls of the scenario, as a Poisson process with a varying rate.
 func (sc *Scenario) arrivals(p *plan) []arrival {
 	rng := sc.randomSource(purposeArrivals)
-	t := sc.Traffic
+	traffic := sc.Traffic
 	pick := func(weights []float64) int {
 		sum := 0.0
 		for _, w := range weights {
@@ -436,18 +436,18 @@
 		}
 		return len(weights) - 1
 	}
-	classes := make([]float64, len(t.Classes))
-	for i, c := range t.Classes {
+	classes := make([]float64, len(traffic.Classes))
+	for i, c := range traffic.Classes {
 		classes[i] = c.Share
 	}
 	tenants := []float64{1}
-	if len(t.Tenants) > 0 {
+	if len(traffic.Tenants) > 0 {
 		tenants = nil
-		for _, x := range t.Tenants {
+		for _, x := range traffic.Tenants {
 			tenants = append(tenants, x.Share)
 		}
 	}
-	massClass := max(0, slices.IndexFunc(t.Classes, func(c Class) bool { return c.Name == "mass" }))
+	massClass := max(0, slices.IndexFunc(traffic.Classes, func(c Class) bool { return c.Name == "mass" }))
 	destinationShares := make([][]float64, len(p.destinationShares))
 	drift := func() {
 		for i := range destinationShares {
@@ -462,7 +462,7 @@
 	var out []arrival
 	phase := rng.Float64() * 2 * math.Pi
 	for at := time.Duration(0); ; {
-		rate := t.Planned * t.Load * (1 + t.Swing*math.Sin(phase+2*math.Pi*at.Seconds()/20))
+		rate := traffic.Planned * traffic.Load * (1 + traffic.Swing*math.Sin(phase+2*math.Pi*at.Seconds()/20))
 		massShare, impatient, impatientSize, floodRate := 0.0, false, 0.0, 0.0
 		for _, x := range sc.Faults {
 			if at < x.At || at >= x.At+x.For {
@@ -488,11 +488,11 @@
 		if at >= sc.Length {
 			return out
 		}
-		if t.Drift > 0 && at >= nextDrift {
-			nextDrift += t.Drift
+		if traffic.Drift > 0 && at >= nextDrift {
+			nextDrift += traffic.Drift
 			drift()
 		}
-		a := arrival{at: at, from: pick(p.originShares), class: pick(classes), tenant: pick(tenants), redials: t.Redials, redialAfter: t.RedialAfter,
+		a := arrival{at: at, from: pick(p.originShares), class: pick(classes), tenant: pick(tenants), redials: traffic.Redials, redialAfter: traffic.RedialAfter,
 			calling: fmt.Sprintf("90%06d", len(out))}
 		if floodRate > 0 && rng.Float64() > ordinaryRate/rate {
 			a.tenant, a.redials = 0, 0
@@ -506,7 +506,7 @@
 			}
 			a.redials, a.redialAfter = 3, 300*time.Millisecond
 		}
-		classSpec := t.Classes[a.class]
+		classSpec := traffic.Classes[a.class]
 		a.patience = classSpec.Patience
 		if impatient && a.tenant == 0 && rng.Float64() < 0.5 {
 			a.patience = max(150*time.Millisecond, time.Duration(impatientSize*float64(classSpec.Patience)))
--- a/script/compile.go
+++ b/script/compile.go
@@ -222,9 +222,9 @@
 				return Errors{err}
 			}
 			if obj := v.r.obj; d.ty.kind == kList && d.ty.elem.kind == kString && len(obj.r) > maxLinearKeys {
-				obj.at = make(map[string]int, len(obj.r))
+				obj.positions = make(map[string]int, len(obj.r))
 				for i, x := range obj.r {
-					obj.at[x.s] = i
+					obj.positions[x.s] = i
 				}
 			}
 			g.p.globalN, g.p.globalR = append(g.p.globalN, v.n), append(g.p.globalR, v.r)
--- a/script/vm.go
+++ b/script/vm.go
@@ -20,7 +20,7 @@
 	n         []int64
 	r         []ref
 	keys      []string
-	at        map[string]int // index of each key, or of each element of a constant list of strings; nil up to maxLinearKeys
+	positions map[string]int // index of each key, or of each element of a constant list of strings; nil up to maxLinearKeys
 	holdsRefs bool
 }
 
@@ -35,8 +35,8 @@
 const maxLinearKeys = 8
 
 func (o *object) find(k string) int {
-	if o.at != nil {
-		if i, ok := o.at[k]; ok {
+	if o.positions != nil {
+		if i, ok := o.positions[k]; ok {
 			return i
 		}
 		return -1
@@ -195,10 +195,10 @@
 	code := fn.code
 	n, r := vm.n, vm.r
 	defer func() { res.Steps, res.Memory = stepBudget-stepsLeft, memoryBudget-memoryLeft }()
-	at := func() int { return int(fn.lines[min(max(pc-1, 0), len(fn.lines)-1)]) }
+	currentLine := func() int { return int(fn.lines[min(max(pc-1, 0), len(fn.lines)-1)]) }
 	for {
 		if stepsLeft <= 0 {
-			return at(), "", ErrSteps
+			return currentLine(), "", ErrSteps
 		}
 		stepsLeft--
 		i := &code[pc]
@@ -226,14 +226,14 @@
 			vm.varWrites = append(vm.varWrites, varWrite{a, n[baseN+b], ""})
 			vars = vars.withWrite(varWrite{a, n[baseN+b], ""})
 			if memoryLeft -= 16 * len(vars.n); memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 		case opSetVarR:
 			s := strings.Clone(r[baseR+b].s)
 			vm.varWrites = append(vm.varWrites, varWrite{a, 0, s})
 			vars = vars.withWrite(varWrite{a, 0, s})
 			if memoryLeft -= 16*len(vars.n) + len(s); memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 		case opFieldN:
 			n[baseN+a] = event.N[b]
@@ -242,7 +242,7 @@
 		case opCopy:
 			obj, size := deepCopy(r[baseR+b].obj)
 			if memoryLeft -= size; memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 			stepsLeft -= size / 64
 			r[baseR+a] = ref{obj: obj}
@@ -256,7 +256,7 @@
 		case opDivI, opModI:
 			d := n[baseN+c]
 			if d == 0 {
-				return at(), "division by zero", nil
+				return currentLine(), "division by zero", nil
 			}
 			if d == -1 { // the least int divided by -1 overflows: negate, which wraps around
 				n[baseN+a] = -n[baseN+b]
@@ -278,7 +278,7 @@
 			n[baseN+a] = floatToBits(bitsToFloat(n[baseN+b]) * bitsToFloat(n[baseN+c]))
 		case opDivF:
 			if bitsToFloat(n[baseN+c]) == 0 {
-				return at(), "division by zero", nil
+				return currentLine(), "division by zero", nil
 			}
 			n[baseN+a] = floatToBits(bitsToFloat(n[baseN+b]) / bitsToFloat(n[baseN+c]))
 		case opNegF:
@@ -289,7 +289,7 @@
 			x, y := r[baseR+b].s, r[baseR+c].s
 			size := len(x) + len(y)
 			if memoryLeft -= size; memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 			stepsLeft -= size / 64
 			r[baseR+a] = ref{s: x + y}
@@ -330,8 +330,8 @@
 		case opInR:
 			l, x := r[baseR+c].obj, r[baseR+b].s
 			found := int64(0)
-			if l.at != nil { // a declared constant list has an index
-				_, ok := l.at[x]
+			if l.positions != nil { // a declared constant list has an index
+				_, ok := l.positions[x]
 				n[baseN+a] = boolToInt(ok)
 				break
 			}
@@ -394,25 +394,25 @@
 
 		case opListN:
 			if memoryLeft -= 48 + 8*c; memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 			stepsLeft -= c / 16
 			r[baseR+a] = ref{obj: &object{n: append([]int64(nil), n[baseN+b:baseN+b+c]...)}}
 		case opListR:
 			if memoryLeft -= 48 + 24*c; memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 			stepsLeft -= c / 16
 			r[baseR+a] = ref{obj: &object{r: append([]ref(nil), r[baseR+b:baseR+b+c]...), holdsRefs: true}}
 		case opNewMap:
 			if memoryLeft -= 96; memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 			r[baseR+a] = ref{obj: &object{holdsRefs: b == 1}}
 		case opIndexN, opIndexR:
 			obj, k := r[baseR+b].obj, n[baseN+c]
 			if k < 0 || k >= int64(obj.len()) {
-				return at(), fmt.Sprintf("index %d of a list of %d", k, obj.len()), nil
+				return currentLine(), fmt.Sprintf("index %d of a list of %d", k, obj.len()), nil
 			}
 			if i.op == opIndexN {
 				n[baseN+a] = obj.n[k]
@@ -422,7 +422,7 @@
 		case opSetIndexN, opSetIndexR:
 			obj, k := r[baseR+a].obj, n[baseN+b]
 			if k < 0 || k >= int64(obj.len()) {
-				return at(), fmt.Sprintf("index %d of a list of %d", k, obj.len()), nil
+				return currentLine(), fmt.Sprintf("index %d of a list of %d", k, obj.len()), nil
 			}
 			if i.op == opSetIndexN {
 				obj.n[k] = n[baseN+c]
@@ -433,7 +433,7 @@
 			obj, k := r[baseR+b].obj, r[baseR+c].s
 			x := obj.find(k)
 			if x < 0 {
-				return at(), fmt.Sprintf("no key %q", truncate(k)), nil
+				return currentLine(), fmt.Sprintf("no key %q", truncate(k)), nil
 			}
 			if i.op == opMapGetN {
 				n[baseN+a] = obj.n[x]
@@ -445,10 +445,10 @@
 			x := obj.find(k)
 			if x < 0 {
 				if len(obj.keys) >= maxListLen {
-					return at(), fmt.Sprintf("a map of more than %d keys", maxListLen), nil
+					return currentLine(), fmt.Sprintf("a map of more than %d keys", maxListLen), nil
 				}
 				if memoryLeft -= 64; memoryLeft < 0 {
-					return at(), "", ErrMemory
+					return currentLine(), "", ErrMemory
 				}
 				x = len(obj.keys)
 				obj.keys = append(obj.keys, k)
@@ -458,13 +458,13 @@
 					obj.n = append(obj.n, 0)
 				}
 				if len(obj.keys) > maxLinearKeys {
-					if obj.at == nil {
-						obj.at = make(map[string]int, 2*maxLinearKeys)
+					if obj.positions == nil {
+						obj.positions = make(map[string]int, 2*maxLinearKeys)
 						for i, k := range obj.keys {
-							obj.at[k] = i
+							obj.positions[k] = i
 						}
 					}
-					obj.at[k] = x
+					obj.positions[k] = x
 				}
 			}
 			if i.op == opMapSetN {
@@ -503,11 +503,11 @@
 			fn, pc, baseN, baseR = f.fn, f.pc, f.n, f.r
 			code = fn.code
 		case opFail:
-			return at(), truncate(r[baseR+a].s), nil
+			return currentLine(), truncate(r[baseR+a].s), nil
 
 		case opIntToText, opFloatToText, opBoolToText, opDurationToText:
 			if memoryLeft -= 24; memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 			v, s := n[baseN+b], ""
 			switch i.op {
@@ -524,7 +524,7 @@
 		case opFloatToInt:
 			f := bitsToFloat(n[baseN+b])
 			if math.IsNaN(f) || f >= 1<<63 || f < -1<<63 {
-				return at(), "float out of the range of int", nil
+				return currentLine(), "float out of the range of int", nil
 			}
 			n[baseN+a] = int64(f)
 		case opIntToFloat:
@@ -543,10 +543,10 @@
 		case opAppend:
 			obj := r[baseR+a].obj
 			if obj.len() >= maxListLen {
-				return at(), fmt.Sprintf("a list of more than %d elements", maxListLen), nil
+				return currentLine(), fmt.Sprintf("a list of more than %d elements", maxListLen), nil
 			}
 			if memoryLeft -= 24; memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 			if c == 1 {
 				obj.r = append(obj.r, r[baseR+b])
@@ -556,7 +556,7 @@
 		case opKeys:
 			obj := r[baseR+b].obj
 			if memoryLeft -= 48 + 24*len(obj.keys); memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 			stepsLeft -= len(obj.keys) / 16
 			l := &object{holdsRefs: true, r: make([]ref, len(obj.keys))}
@@ -568,7 +568,7 @@
 		case opRefuse:
 			v := n[baseN+a]
 			if v < 1 || v > 127 {
-				return at(), fmt.Sprintf("refuse(%d): cause values are 1 to 127", v), nil
+				return currentLine(), fmt.Sprintf("refuse(%d): cause values are 1 to 127", v), nil
 			}
 			res.Refuse = int(v)
 		case opSetClass:
@@ -578,30 +578,30 @@
 		case opRewrite:
 			s := r[baseR+a].s
 			if len(s) < 1 || len(s) > 24 || strings.Trim(s, "0123456789") != "" {
-				return at(), fmt.Sprintf("rewrite(%q): 1 to 24 digits are wanted", truncate(s)), nil
+				return currentLine(), fmt.Sprintf("rewrite(%q): 1 to 24 digits are wanted", truncate(s)), nil
 			}
 			res.Rewrite = s
 		case opExclude:
 			if len(res.Exclude) >= maxExcludes {
-				return at(), fmt.Sprintf("more than %d exchanges excluded", maxExcludes), nil
+				return currentLine(), fmt.Sprintf("more than %d exchanges excluded", maxExcludes), nil
 			}
 			res.Exclude = append(res.Exclude, int(n[baseN+a]))
 		case opTreatAs:
 			if v := n[baseN+a]; !ValidTreatAs(v) {
-				return at(), fmt.Sprintf("treat_as(%d): cause must be 17, 34, 41 or 42", v), nil
+				return currentLine(), fmt.Sprintf("treat_as(%d): cause must be 17, 34, 41 or 42", v), nil
 			} else {
 				res.TreatAs = int(v)
 			}
 		case opTag:
 			s := r[baseR+a].s
 			if len(res.Tags) >= maxTags || len(s) > maxTagOctets {
-				return at(), fmt.Sprintf("more than %d tags, or one of more than %d octets", maxTags, maxTagOctets), nil
+				return currentLine(), fmt.Sprintf("more than %d tags, or one of more than %d octets", maxTags, maxTagOctets), nil
 			}
 			res.Tags = append(res.Tags, s)
 		case opLog:
 			k, v := r[baseR+a].s, r[baseR+b].s
 			if len(res.Logs) >= maxLogFields || len(k) > maxTagOctets || len(v) > 256 {
-				return at(), fmt.Sprintf("more than %d log fields, or one of more than 256 octets", maxLogFields), nil
+				return currentLine(), fmt.Sprintf("more than %d log fields, or one of more than 256 octets", maxLogFields), nil
 			}
 			res.Logs = append(res.Logs, LogField{k, v})
 		case opRateAdd:
@@ -620,7 +620,7 @@
 			want := int(min(max(n[baseN+b], 0), 100))
 			stepsLeft -= 64 + state.tops[c].size/4
 			if memoryLeft -= 48 + 64*want; memoryLeft < 0 {
-				return at(), "", ErrMemory
+				return currentLine(), "", ErrMemory
 			}
 			l := &object{holdsRefs: true}
 			for _, k := range state.tops[c].Most(want) {
@@ -632,7 +632,7 @@
 		case opCounterGet:
 			n[baseN+a] = state.counters[b].Load()
 		default:
-			return at(), fmt.Sprintf("unknown instruction %d", i.op), nil
+			return currentLine(), fmt.Sprintf("unknown instruction %d", i.op), nil
 		}
 	}
 }
@@ -660,10 +660,10 @@
 			}
 		}
 	}
-	if obj.at != nil && obj.keys != nil { // a map's index; that of a constant list is dropped, as the copy can change
-		clone.at = make(map[string]int, len(obj.at))
-		for k, v := range obj.at {
-			clone.at[k] = v
+	if obj.positions != nil && obj.keys != nil { // a map's index; that of a constant list is dropped, as the copy can change
+		clone.positions = make(map[string]int, len(obj.positions))
+		for k, v := range obj.positions {
+			clone.positions[k] = v
 		}
 	}
 	return clone, size
