--- a/scenario/flood_test.go
+++ b/scenario/flood_test.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		var m m3ua.Message
-		if m3ua.Decode(f.Data, &m) == nil && m.Kind == m3ua.DATA && !f.In && m.Data.OPC%10 == 0 {
+		if m3ua.Decode(f.Data, &m) == nil && m.Kind == m3ua.DATA && !f.In && m.Data.OPC%10 == 0 { // a client of the first tenant; see clientPC
 			floodingLinks[f.Link] = true
 		}
 	}
@@ -49,8 +49,8 @@
 	return r.Whole.Share
 }
 
-// A client that offers ten times its share must not take service from the others: with admission limits theirs is as
-// without the flood, and no lower than without the limits.
+// A client that offers ten times its share must not take service from the others. With admission limits, the service of the
+// others is at most 0.05 lower than without the flood, and not lower than under the flood without limits.
 func TestFloodOfOneClient(t *testing.T) {
 	var noFlood, limited, unlimited float64
 	const seeds = 3
--- a/scenario/reset_test.go
+++ b/scenario/reset_test.go
@@ -37,7 +37,7 @@
 								if k != kind || fromController != wantFromController || u == nil || u.Type != typ {
 									return emulator.Pass
 								}
-								if seen++; seen%7 != 0 { // or no call would be established
+								if seen++; seen%7 != 0 { // resets only one message in seven, or no call would be established
 									return emulator.Pass
 								}
 								resets++
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -141,6 +141,7 @@
 	return &cfg, cfg.Check(fmt.Sprintf("controller of exchange %d", cfg.Exchange))
 }
 
+// clientPC returns the point code of a tenant's client at an exchange. It is unique for up to ten tenants.
 func clientPC(exchange, tenant int) uint32 { return uint32(9000 + 10*exchange + tenant) }
 
 // Run runs a scenario and evaluates its recording. It returns when everything that it started has ended.
--- a/scenario/scenario.go
+++ b/scenario/scenario.go
@@ -316,7 +316,7 @@
 		p.originShares[0] = network.BigExchange / (1 - network.BigExchange) * othersTotal
 		total = othersTotal + p.originShares[0]
 	}
-	hold, shares := 0.0, 0.0
+	hold, shares := 0.0, 0.0 // hold becomes the mean holding time of a circuit, in seconds
 	for _, c := range traffic.Classes {
 		// Ringing occupies the circuits too; the mean of a log-normal distribution is above its median.
 		ring := c.Ringing.Median.Seconds() * math.Exp(c.Ringing.Spread*c.Ringing.Spread/2)
@@ -342,7 +342,7 @@
 			p.destinationShares[i][j] /= sum
 		}
 	}
-	type groupPlan struct {
+	type groupPlan struct { // the trunk group between exchanges i and j
 		i, j        int
 		plannedLoad float64
 	}
--- a/script/builtin.go
+++ b/script/builtin.go
@@ -6,7 +6,7 @@
 	object  string // "rate", "top" or "counter" for methods, else empty
 	args    []Type // kNone: any type that the operation accepts
 	result  Type
-	hooks   []string // hooks that can use it; empty: all, and functions
+	hooks   []string // kinds of hooks that can use it; empty: all hooks and functions
 	op      op
 	doc     string
 	example string // a program that uses it
--- a/script/event.go
+++ b/script/event.go
@@ -52,8 +52,8 @@
 	return e
 }
 
-// ParseEvent returns an event of a hook with the given fields, such as call.called: "820112345" in an example. Durations are strings
-// such as "1.5s".
+// ParseEvent returns the event of a hook from the values of its fields by name, as examples give them: call.called: "820112345".
+// Durations are strings such as "1.5s".
 func ParseEvent(hook string, fields map[string]any) (Event, error) {
 	var e Event
 	known, ok := hookFields[hook]
--- a/script/lint.go
+++ b/script/lint.go
@@ -10,7 +10,8 @@
 // assumedListLen is the length that cost estimates assume for a list of unknown length: the maximum.
 const assumedListLen = maxListLen
 
-// computeCosts estimates the worst-case steps of each hook from its source: loops by their literal bounds or list lengths.
+// computeCosts estimates the worst-case steps of each hook from its source. Loops count as often as their literal bounds or the
+// length of their list say.
 func (g *generator) computeCosts(order []*fnDecl) {
 	known := map[*fnDecl]int{}
 	var fn func(d *fnDecl) int
--- a/script/state.go
+++ b/script/state.go
@@ -210,7 +210,7 @@
 	return x
 }
 
-// NewTop returns a Top that keeps a number of keys.
+// NewTop returns a Top that keeps up to the given number of keys.
 func NewTop(keys int) *Top { return &Top{size: keys, entries: make(map[string]*topEntry, keys)} }
 
 // maxKeyOctets limits the length of a key; longer keys are cut to it.
