--- a/check/check.go
+++ b/check/check.go
@@ -27,9 +27,9 @@
 
 // ColdStart describes how many set-ups overload a freshly started switch.
 type ColdStart struct {
-	Share    float64       // of its capacity that it has right after the start
-	WarmUp   time.Duration // until it has its full capacity
-	Multiple float64       // of its present capacity, over Span, from which on it is overloaded
+	Share    float64       // capacity right after the start, as a share of the full one
+	WarmUp   time.Duration // time from the start to full capacity
+	Multiple float64       // set-ups within Span above which it is overloaded, as a multiple of its present capacity
 	Span     time.Duration
 }
 
@@ -37,15 +37,22 @@
 type Class struct {
 	Name      string
 	Category  isup.Category
-	Aim       time.Duration
+	Aim       time.Duration // a set-up that is complete later than this earns LateWorth only
 	Patience  time.Duration // the caller abandons a call that has not alerted after this time ...
 	Ring      time.Duration // ... and one that alerts after this time; 0: a minute
 	GiveUp    time.Duration // a set-up that is complete later than this earns nothing
 	Worth     float64
-	LateWorth float64
+	LateWorth float64 // as a share of Worth
 }
 
-// Violation is one violation of a rule.
+// Violation is one violation of a rule. The rules of a controller, by number:
+//
+//  1. A call gets exactly one final answer (ANM, CON or REL) before its caller's deadline, and no set-up of it is sent after that.
+//     ACM or CPG is sent to the client only if a switch has sent one.
+//  2. At most one attempt of a call is outstanding.
+//  3. No set-up is sent to an exchange that was reported as draining or unavailable, after a grace period.
+//  4. A freshly started switch does not get more set-ups than ColdStart allows.
+//  5. After an attempt that was released without an answer, or lost, the next one waits for the guard.
 type Violation struct {
 	Rule       int           `json:"rule"` // 1 to 5; 6: two calls on one circuit
 	At         time.Duration `json:"at"`
@@ -84,7 +91,7 @@
 // Report is the result of an evaluation.
 type Report struct {
 	Whole       Service            `json:"whole"`
-	ToAnswer    Service            `json:"whole_to_answer"` // if the aim applied to the time to answer, ringing included
+	ToAnswer    Service            `json:"whole_to_answer"` // as Whole, with the aim applied to the time to answer, ringing included
 	WorstWindow Service            `json:"worst_10s"`
 	WorstFrom   time.Duration      `json:"worst_10s_from"`
 	WorstClass  string             `json:"worst_class"`
@@ -164,12 +171,13 @@
 	at            time.Duration
 	state         attemptState
 	end           time.Duration
-	established   bool
+	established   bool // answered and not yet released
 	establishedAt time.Duration
 	alerted       bool       // the switch has sent ACM or CPG
 	cause         isup.Cause // of the far end's REL
 }
 
+// clientCallKey identifies an open call on a client's link.
 type clientCallKey struct {
 	link int32
 	opc  uint32
@@ -181,6 +189,7 @@
 	controller uint32
 }
 
+// groupKey identifies the trunk group from a controller to the switch of another exchange, by their point codes.
 type groupKey struct{ controller, sw uint32 }
 
 type circuitKey struct {
@@ -217,9 +226,10 @@
 	answerDelays     []time.Duration
 }
 
+// coldSwitch is a freshly started switch, with the set-ups that it received within the last ColdStart.Span.
 type coldSwitch struct {
-	at           time.Duration
-	warmRate     float64
+	at           time.Duration // of its start
+	warmRate     float64       // set-ups a second at full capacity
 	recentSetUps []time.Duration
 	violated     bool
 }
@@ -280,7 +290,7 @@
 	return e.report
 }
 
-func (e *evaluator) violated(rule int, at time.Duration, controller uint32, reference callRef, format string, args ...any) {
+func (e *evaluator) addViolation(rule int, at time.Duration, controller uint32, reference callRef, format string, args ...any) {
 	e.report.Violations = append(e.report.Violations, Violation{rule, at, controller, reference.String(), fmt.Sprintf(format, args...)})
 }
 
@@ -334,6 +344,7 @@
 	}
 }
 
+// end records the end of an attempt and frees its circuit. Two calls may be established on one circuit for at most a second.
 func (e *evaluator) end(k circuitKey, a *attempt, finalState attemptState, at time.Duration) {
 	if a.state == outstanding {
 		a.state, a.end = finalState, at
@@ -342,7 +353,7 @@
 		a.established = false
 		if peer := e.circuits[circuitKey{groupKey{k.sw, k.controller}, k.cic}]; peer != nil && peer.established {
 			if bothSince := max(a.establishedAt, peer.establishedAt); at-bothSince > time.Second {
-				e.violated(6, at, a.controller, a.callRef, "it and call %v stood on circuit %d between %d and %d for %v", peer.callRef, k.cic, k.controller, k.sw, at-bothSince)
+				e.addViolation(6, at, a.controller, a.callRef, "it and call %v stood on circuit %d between %d and %d for %v", peer.callRef, k.cic, k.controller, k.sw, at-bothSince)
 			}
 		}
 	}
@@ -394,7 +405,7 @@
 					e.report.Abandoned++
 				}
 				if e.overdueBy(call, frame.At) >= 0 && !e.excusedByStall(call, frame.At) {
-					e.violated(1, frame.At, clientLink.Controller, call.callRef, "no final answer before its caller gave up after %v", frame.At-call.at)
+					e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "no final answer before its caller gave up after %v", frame.At-call.at)
 				}
 			}
 		}
@@ -402,7 +413,7 @@
 	}
 	if call == nil {
 		if m.Type == isup.ANM || m.Type == isup.CON || m.Type == isup.ACM || m.Type == isup.CPG || m.Type == isup.REL {
-			e.violated(1, frame.At, clientLink.Controller, callRef{}, "%v on circuit %d, where no call is", m.Type, m.CIC)
+			e.addViolation(1, frame.At, clientLink.Controller, callRef{}, "%v on circuit %d, where no call is", m.Type, m.CIC)
 		}
 		return
 	}
@@ -411,17 +422,17 @@
 		call.cleared = true
 	case isup.ACM, isup.CPG:
 		if call.cleared || call.outcome != pending {
-			e.violated(1, frame.At, clientLink.Controller, call.callRef, "%v after its end", m.Type)
+			e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "%v after its end", m.Type)
 		} else if call.alertedAt == 0 {
 			call.alertedAt = frame.At
 			e.report.Alerted++
 			if !slices.ContainsFunc(e.attempts[attemptKey{call.callRef, clientLink.Controller}], func(a *attempt) bool { return a.alerted }) {
-				e.violated(1, frame.At, clientLink.Controller, call.callRef, "%v though no switch has said so: its caller waits for nothing", m.Type)
+				e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "%v though no switch has said so: its caller waits for nothing", m.Type)
 			}
 		}
 	case isup.ANM, isup.CON:
 		if call.cleared || call.outcome != pending {
-			e.violated(1, frame.At, clientLink.Controller, call.callRef, "%v after a final answer", m.Type)
+			e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "%v after a final answer", m.Type)
 			return
 		}
 		call.outcome, call.outcomeAt = established, frame.At
@@ -431,12 +442,12 @@
 	case isup.REL:
 		switch {
 		case call.cleared || call.controllerReleased || call.outcome == refused:
-			e.violated(1, frame.At, clientLink.Controller, call.callRef, "REL after a final answer")
+			e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "REL after a final answer")
 		case call.outcome == pending:
 			call.outcome, call.outcomeAt, call.cause = refused, frame.At, m.Cause
 			e.report.Refused++
 			if overdue := e.overdueBy(call, frame.At); call.clientReleasedAt == 0 && overdue > e.spec.Slack && !e.excusedByStall(call, frame.At) {
-				e.violated(1, frame.At, clientLink.Controller, call.callRef, "its final answer came %v after its caller's time", overdue)
+				e.addViolation(1, frame.At, clientLink.Controller, call.callRef, "its final answer came %v after its caller's time", overdue)
 			}
 		default:
 			call.controllerReleased = true
@@ -466,7 +477,7 @@
 	return c.outcomeAt
 }
 
-// excusedByStall tells whether the controller of a call was stalled while the call waited for its final answer.
+// excusedByStall reports whether the controller of a call was stalled while the call waited for its final answer.
 func (e *evaluator) excusedByStall(call *clientCall, until time.Duration) bool {
 	for _, stall := range e.stalls[call.controller] {
 		if stall.At <= until && stall.At+stall.Span+e.spec.Slack >= call.at {
@@ -551,22 +562,22 @@
 	for _, previous := range e.attempts[attemptsKey] {
 		switch {
 		case previous.state == outstanding:
-			e.violated(2, at, circuit.controller, reference, "sent to %d while its attempt to %d of %v before is out", circuit.sw, previous.sw, at-previous.at)
+			e.addViolation(2, at, circuit.controller, reference, "sent to %d while its attempt to %d of %v before is out", circuit.sw, previous.sw, at-previous.at)
 		case (previous.state == released || previous.state == lost) && at-previous.end < e.spec.Guard-e.spec.Slack:
-			e.violated(5, at, circuit.controller, reference, "sent to %d only %v after its attempt to %d on circuit %d was %v", circuit.sw, at-previous.end, previous.sw, previous.cic, previous.state)
+			e.addViolation(5, at, circuit.controller, reference, "sent to %d only %v after its attempt to %d on circuit %d was %v", circuit.sw, at-previous.end, previous.sw, previous.cic, previous.state)
 		case previous.state == answered:
-			e.violated(1, at, circuit.controller, reference, "sent to %d after it stood", circuit.sw)
+			e.addViolation(1, at, circuit.controller, reference, "sent to %d after it stood", circuit.sw)
 		}
 	}
 	if c := e.byRef[reference]; c != nil && c.controller == circuit.controller {
 		if c.outcome != pending && at > c.outcomeAt+e.spec.Slack {
-			e.violated(1, at, circuit.controller, reference, "sent to %d %v after its final answer", circuit.sw, at-c.outcomeAt)
+			e.addViolation(1, at, circuit.controller, reference, "sent to %d %v after its final answer", circuit.sw, at-c.outcomeAt)
 		} else if c.clientReleasedAt > 0 && at > c.clientReleasedAt+e.spec.Slack+e.stalledFor(circuit.controller, c.clientReleasedAt, at) {
-			e.violated(1, at, circuit.controller, reference, "sent to %d %v after its caller left", circuit.sw, at-c.clientReleasedAt)
+			e.addViolation(1, at, circuit.controller, reference, "sent to %d %v after its caller left", circuit.sw, at-c.clientReleasedAt)
 		}
 	}
 	if since, known := e.unavailableSince[circuit.groupKey]; known && at > since+e.spec.DrainGrace+e.spec.Slack {
-		e.violated(3, at, circuit.controller, reference, "sent to %d %v after word that it drains or is gone", circuit.sw, at-since)
+		e.addViolation(3, at, circuit.controller, reference, "sent to %d %v after word that it drains or is gone", circuit.sw, at-since)
 	}
 	if c := e.coldSwitches[circuit.sw]; c != nil && at < c.at+e.spec.ColdStart.WarmUp && e.spec.ColdStart.Multiple > 0 {
 		c.recentSetUps = append(c.recentSetUps, at)
@@ -577,7 +588,7 @@
 		limit := e.spec.ColdStart.Multiple * c.warmRate * (e.spec.ColdStart.Share + (1-e.spec.ColdStart.Share)*progress) * e.spec.ColdStart.Span.Seconds()
 		if float64(len(c.recentSetUps)) > limit && !c.violated {
 			c.violated = true
-			e.violated(4, at, circuit.controller, reference, "%d set-ups within %v reached switch %d, started %v before; %.0f can be", len(c.recentSetUps), e.spec.ColdStart.Span, circuit.sw, at-c.at, limit)
+			e.addViolation(4, at, circuit.controller, reference, "%d set-ups within %v reached switch %d, started %v before; %.0f can be", len(c.recentSetUps), e.spec.ColdStart.Span, circuit.sw, at-c.at, limit)
 		}
 	}
 	if peer := e.circuits[circuitKey{groupKey{circuit.sw, circuit.controller}, circuit.cic}]; peer != nil && peer.state == outstanding {
@@ -631,12 +642,12 @@
 		call.alerted = true
 	case isup.ANM, isup.CON:
 		if call.outcome != pending {
-			e.violated(1, frame.At, link.Controller, call.callRef, "in transit: %v after a final answer", m.Type)
+			e.addViolation(1, frame.At, link.Controller, call.callRef, "in transit: %v after a final answer", m.Type)
 		}
 		call.outcome = established
 	case isup.REL:
 		if call.outcome == refused {
-			e.violated(1, frame.At, link.Controller, call.callRef, "in transit: REL after a final answer")
+			e.addViolation(1, frame.At, link.Controller, call.callRef, "in transit: REL after a final answer")
 		}
 		call.outcome = refused
 	case isup.RSC:
@@ -648,7 +659,7 @@
 func (e *evaluator) finish() {
 	for _, call := range e.calls {
 		if call.outcome == pending && call.clientReleasedAt == 0 && !call.lost && e.overdueBy(call, e.recording.End) > e.spec.Slack && !e.excusedByStall(call, e.recording.End) {
-			e.violated(1, e.recording.End, call.controller, call.callRef, "no final answer at all")
+			e.addViolation(1, e.recording.End, call.controller, call.callRef, "no final answer at all")
 		}
 	}
 	for k, inTransit := range e.transits {
@@ -657,7 +668,7 @@
 			limit += e.spec.Classes[inTransit.class].Ring
 		}
 		if inTransit.outcome == pending && e.recording.End-inTransit.at > limit {
-			e.violated(1, e.recording.End, k.controller, inTransit.callRef, "in transit: neither answered nor released")
+			e.addViolation(1, e.recording.End, k.controller, inTransit.callRef, "in transit: neither answered nor released")
 		}
 	}
 	slices.SortStableFunc(e.report.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
@@ -715,7 +726,7 @@
 		classService.add(classSpec.Worth, earned)
 	}
 	first := true
-	for i, w := range windows {
+	for i, w := range windows { // windows with less than a quarter of the mean worth do not count
 		if w.Worth >= 0.25*e.report.Whole.Worth/float64(len(windows)) && (first || w.Share < e.report.WorstWindow.Share) {
 			first = false
 			e.report.WorstWindow, e.report.WorstFrom = w, time.Duration(i)*window
@@ -745,9 +756,9 @@
 	}
 }
 
-// unanswered tells whether the called number of an intent alerted within the aim and was never answered: a far end
-// released the call with cause 18 or 19, or it alerted for as long as its caller waits. Such a cause does not count if only
-// the controller reports it.
+// unanswered reports whether the called number of an intent alerted within the aim and was never answered: a far end
+// released the call with cause 18 or 19, or its caller's ringing time elapsed (up to a second earlier if the controller
+// released the call). A release with such a cause by the controller alone does not count.
 func (e *evaluator) unanswered(intent *callIntent) bool {
 	last := intent.calls[len(intent.calls)-1]
 	classSpec := e.spec.Classes[last.class]
--- a/scenario/hooks_test.go
+++ b/scenario/hooks_test.go
@@ -58,12 +58,12 @@
 // A hook that misbehaves on all controllers during a load peak must neither make them break a rule nor cost more service
 // than the random difference between two runs, at most 0.05.
 func TestMisbehavingHooksCostNoService(t *testing.T) {
-	plain := runScenario(t, loadPeak())
+	withoutHook := runScenario(t, loadPeak())
 	for name, text := range misbehavingHooks {
 		t.Run(name, func(t *testing.T) {
 			res := runScenario(t, loadPeak(), withHooks(text))
-			if difference := res.Report.Whole.Share - plain.Report.Whole.Share; difference < -0.05 {
-				t.Errorf("service %.3f, without the hook %.3f", res.Report.Whole.Share, plain.Report.Whole.Share)
+			if difference := res.Report.Whole.Share - withoutHook.Report.Whole.Share; difference < -0.05 {
+				t.Errorf("service %.3f, without the hook %.3f", res.Report.Whole.Share, withoutHook.Report.Whole.Share)
 			}
 			if hookCounters(res).HookAsked == 0 {
 				t.Error("the hook was never called")
@@ -93,7 +93,7 @@
 func TestRefusingHookRefusesItsClass(t *testing.T) {
 	res := runScenario(t, loadPeak(), withHooks("on arrival {\n\tif call.class == \"map-tile\" {\n\t\trefuse(21)\n\t}\n}\n"))
 	if res.Report.Classes["map-tile"].Share != 0 || res.Report.Classes["storm-tile"].Share < 0.9 {
-		t.Errorf("%+v", res.Report.Classes)
+		t.Errorf("service by class %+v, want 0 for map-tile and at least 0.9 for storm-tile", res.Report.Classes)
 	}
 }
 
@@ -119,7 +119,7 @@
 		t.Errorf("%d hook swaps, want at least 100", swaps)
 	}
 	if c := hookCounters(res); c.HookAsked == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("the hooks were never called: %+v", c)
 	}
 }
 
@@ -130,10 +130,9 @@
 		texts = append(texts, e)
 	}
 	if len(texts) < 6 {
-		t.Fatalf("%d hooks on the page", len(texts))
+		t.Fatalf("%d hooks on the page, want at least 6", len(texts))
 	}
 	runScenario(t, loadPeak(), withHooks(texts...))
-
 }
 
 // documentedHooks returns the example programs of docs/operations/script.md: the indented blocks between two of its
@@ -171,8 +170,8 @@
 	if *hookSeeds == 0 {
 		t.Skip("a measurement: go test ./scenario -run HookService -v -args -hookdays 40")
 	}
-	good := "rate dialled(window 10s, keys 5000)\ntop talkers(keys 200)\non arrival {\n\tdialled.add(call.called)\n\ttalkers.add(call.calling)\n\tmatch call.called {\n\t\t820100* -> tag(\"storm desk\")\n\t}\n}\non attempt_end {\n\tif end.cause == 47 {\n\t\ttreat_as(42)\n\t}\n}\n"
-	kinds := []struct{ name, text string }{{"no hook", ""}, {"no hook, again", ""}, {"typical", good}, {"endless loop", misbehavingHooks["endless loop"]}, {"always fails", misbehavingHooks["always fails"]}, {"allocates without limit", misbehavingHooks["allocates without limit"]}}
+	typicalHook := "rate dialled(window 10s, keys 5000)\ntop talkers(keys 200)\non arrival {\n\tdialled.add(call.called)\n\ttalkers.add(call.calling)\n\tmatch call.called {\n\t\t820100* -> tag(\"storm desk\")\n\t}\n}\non attempt_end {\n\tif end.cause == 47 {\n\t\ttreat_as(42)\n\t}\n}\n"
+	kinds := []struct{ name, text string }{{"no hook", ""}, {"no hook, again", ""}, {"typical", typicalHook}, {"endless loop", misbehavingHooks["endless loop"]}, {"always fails", misbehavingHooks["always fails"]}, {"allocates without limit", misbehavingHooks["allocates without limit"]}}
 	for _, k := range kinds {
 		var sum, sumOfSquares, p99 float64
 		for seed := range *hookSeeds {
@@ -199,7 +198,7 @@
 func TestDocumentedHooksDoAsDescribed(t *testing.T) {
 	page := documentedHooks(t)
 	if len(page) != 6 {
-		t.Fatalf("%d hooks on the page", len(page))
+		t.Fatalf("%d hooks on the page, want 6", len(page))
 	}
 	names := hooks.Names{Classes: []string{"map-tile", "storm-tile"}}
 	sets := make([]*hooks.Set, len(page))
@@ -223,23 +222,23 @@
 		f(&c)
 		return script.CallEvent(c)
 	}
-	plain := script.CallEvent(call)
+	ordinaryCall := script.CallEvent(call)
 	for _, n := range []string{"820100001", "8203712"} {
 		if a := run(0, script.Arrival, with(func(c *script.Call) { c.Called = n })); a.Class != "storm-tile" || len(a.Tags) != 1 {
 			t.Errorf("call to storm desk number %s: %+v", n, a)
 		}
 	}
-	if a := run(0, script.Arrival, plain); a.Class != "" {
+	if a := run(0, script.Arrival, ordinaryCall); a.Class != "" {
 		t.Errorf("call to another number: %+v", a)
 	}
 	refused := 0
 	for range 200 {
-		if run(1, script.Arrival, plain).Refuse == 42 {
+		if run(1, script.Arrival, ordinaryCall).Refuse == 42 {
 			refused++
 		}
 	}
 	if refused < 90 || refused > 110 { // ten a second over ten seconds
-		t.Errorf("%d of 200 calls to one number refused", refused)
+		t.Errorf("%d of 200 calls to one number refused, want about 100", refused)
 	}
 	if a := run(1, script.Arrival, with(func(c *script.Call) { c.Called = "820299999" })); a.Refuse != 0 {
 		t.Errorf("call to a number under the limit: %+v", a)
@@ -247,39 +246,39 @@
 	if a := run(1, script.Arrival, with(func(c *script.Call) { c.Class = "storm-tile" })); a.Refuse != 0 {
 		t.Errorf("storm call to a number over the limit: %+v", a)
 	}
-	if a := run(2, script.Route, plain); len(a.Exclude) != 1 || a.Exclude[0] != 104 {
-		t.Errorf("%+v", a)
+	if a := run(2, script.Route, ordinaryCall); len(a.Exclude) != 1 || a.Exclude[0] != 104 {
+		t.Errorf("map-tile call: %+v, want exchange 104 excluded", a)
 	}
 	if a := run(2, script.Route, with(func(c *script.Call) { c.Class = "storm-tile" })); len(a.Exclude) != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("storm-tile call: %+v, want no exchange excluded", a)
 	}
 	for _, x := range []struct{ cause, exchange, want int }{{47, 103, 42}, {47, 102, 0}, {34, 103, 0}} {
 		if a := run(3, script.AttemptEnd, script.AttemptEndEvent(call, x.cause, x.exchange, true, time.Second)); a.TreatAs != x.want {
 			t.Errorf("cause %d from exchange %d treated as %d", x.cause, x.exchange, a.TreatAs)
 		}
 	}
-	second := with(func(c *script.Call) { c.Category = 12 })
+	category12Call := with(func(c *script.Call) { c.Category = 12 })
 	for _, x := range []struct{ waiting, want int }{{10, 0}, {300, 42}, {10, 0}} {
 		var a hooks.Advice
 		ev := script.EveryEvent(x.waiting, 0, 0, 0, 0, 0)
 		r.Run(sets[4], script.Every, &ev, time.Hour, &a)
-		if got := run(4, script.Arrival, second).Refuse; got != x.want {
+		if got := run(4, script.Arrival, category12Call).Refuse; got != x.want {
 			t.Errorf("with %d calls waiting: refused with %d", x.waiting, got)
 		}
-		if run(4, script.Arrival, plain).Refuse != 0 {
+		if run(4, script.Arrival, ordinaryCall).Refuse != 0 {
 			t.Error("a call of another category is refused")
 		}
 	}
 	for range 3 {
-		run(5, script.Arrival, plain)
+		run(5, script.Arrival, ordinaryCall)
 	}
 	if a := run(5, script.Every, script.EveryEvent(0, 0, 0, 0, 0, 0)); len(a.Logs) != 1 || a.Logs[0].Value != "9001 3" {
-		t.Errorf("%+v", a)
+		t.Errorf("every hook: %+v, want 9001 3 in the log", a)
 	}
 	if a := run(5, script.Final, script.FinalEvent(call, "failed", 102, 103, time.Second)); len(a.Logs) != 1 || a.Logs[0].Value != "103" {
-		t.Errorf("%+v", a)
+		t.Errorf("failed call: %+v, want 103 in the log", a)
 	}
 	if a := run(5, script.Final, script.FinalEvent(call, "stands", 0, 103, time.Second)); len(a.Logs) != 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("established call: %+v, want nothing in the log", a)
 	}
 }
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -34,7 +34,7 @@
 	Engine func(policy.Config) (controller.Engine, error) // nil: the routing engine of package policy
 	// Slack is the checker's tolerance for the time between an action and its recording; see check.Spec.
 	Slack time.Duration
-	// GuardMargin is the time that controllers wait in addition to the guard of the rule, for the same reason.
+	// GuardMargin is added to the controllers' guard, so that delays of the recording do not shorten it below the rule's.
 	GuardMargin time.Duration
 	// Hooks are the scripts that every controller runs. HooksFor, if set, replaces them by scripts for each exchange.
 	Hooks    []hooks.Source
@@ -42,12 +42,12 @@
 	// FrameFault, if set, decides on a fault for each frame on the sockets of emulated switches and clients; u is nil for
 	// frames without an ISUP message. Calls are serialised.
 	FrameFault func(k record.LinkKind, fromController bool, m *m3ua.Message, u *isup.Message) emulator.FrameFault
-	// Deadline of hooks; 0: the default of the settings.
+	// Deadline is the deadline of hooks; 0: the default of the settings.
 	Deadline time.Duration
 	// Progress, if set, is called about every second with the time since the start.
 	Progress func(at time.Duration)
 	// During, if set, runs concurrently with the scenario, for example to do what operators do.
-	During func(ctx context.Context, d []*daemon.Daemon)
+	During func(ctx context.Context, daemons []*daemon.Daemon)
 }
 
 // Result is the result of a run.
@@ -102,10 +102,10 @@
 }
 
 // settings returns the settings of the controller of exchange self.
-func (sc *Scenario) settings(p *plan, self int, addrs [][]string, margin time.Duration) (*config.Config, error) {
+func (sc *Scenario) settings(p *plan, self int, addrs [][]string, guardMargin time.Duration) (*config.Config, error) {
 	cfg := config.Default()
 	cfg.Exchange, cfg.Listen, cfg.Seed = p.exchanges[self].pointCode, "127.0.0.1:0", sc.Seed+uint64(self)
-	cfg.Guard, cfg.RetransmitAfter, cfg.MaxAttempts, cfg.OverQuotaWorth = sc.Rules.Guard+margin, sc.Network.Switch.Repeat, 4, 0.1
+	cfg.Guard, cfg.RetransmitAfter, cfg.MaxAttempts, cfg.OverQuotaWorth = sc.Rules.Guard+guardMargin, sc.Network.Switch.Repeat, 4, 0.1
 	cfg.ColdStart = config.ColdStart{WarmUp: sc.Rules.ColdStart.WarmUp, Share: sc.Rules.ColdStart.Share, CrashMultiple: sc.Rules.ColdStart.Multiple, CrashSpan: sc.Rules.ColdStart.Span}
 	cfg.Timers = config.Timers{T1: 4 * time.Second, T5: 20 * time.Second, T7: 20 * time.Second, T9: 90 * time.Second, T16: 4 * time.Second, T28: 2 * time.Second, SignallingHold: 8 * time.Second}
 	cfg.Association.Ack, cfg.Association.Beat, cfg.Association.BeatLimit = time.Second, time.Second, 3*time.Second
@@ -141,6 +141,7 @@
 	return &cfg, cfg.Check(fmt.Sprintf("controller of exchange %d", cfg.Exchange))
 }
 
+// clientPC returns the point code of a tenant's client at an exchange. It is unique for up to ten tenants.
 func clientPC(exchange, tenant int) uint32 { return uint32(9000 + 10*exchange + tenant) }
 
 // Run runs a scenario and evaluates its recording. It returns when everything that it started has ended.
@@ -185,7 +186,7 @@
 	r.reportProgress(ctx)
 	r.scheduleFaults(ctx)
 	r.offerCalls(ctx)
-	settle := time.Duration(0)
+	settle := time.Duration(0) // the time in which the last calls are answered or abandoned
 	for _, c := range sc.Traffic.Classes {
 		settleTime := c.Patience + 500*time.Millisecond
 		if c.hasRinging() {
@@ -348,7 +349,7 @@
 			return ctx.Err()
 		}
 	}
-	return errors.New("scenario: the fleet has not come up within ten seconds")
+	return errors.New("scenario: a controller is not ready or a client not connected after 10 s")
 }
 
 // offerCalls offers every call at its time through its client.
@@ -398,28 +399,28 @@
 // scheduleFaults starts every fault at its time.
 func (r *runner) scheduleFaults(ctx context.Context) {
 	var lateUpdates []Fault
-	for _, x := range r.scenario.Faults {
-		if x.Kind == ListLate {
-			lateUpdates = append(lateUpdates, x)
+	for _, fault := range r.scenario.Faults {
+		if fault.Kind == ListLate {
+			lateUpdates = append(lateUpdates, fault)
 		}
 	}
 	r.updateDelay = func(at time.Duration) (d time.Duration) {
-		for _, x := range lateUpdates {
-			if at >= x.At && at < x.At+x.For {
-				d += time.Duration(x.Size * float64(time.Second))
+		for _, fault := range lateUpdates {
+			if at >= fault.At && at < fault.At+fault.For {
+				d += time.Duration(fault.Size * float64(time.Second))
 			}
 		}
 		return d
 	}
-	for k, x := range r.scenario.Faults {
+	for k, fault := range r.scenario.Faults {
 		rng := rand.New(rand.NewPCG(r.scenario.Seed, uint64(purposeFaults*1000+k)))
-		targets := r.scenario.drawTargets(r.plan, x, rng)
+		targets := r.scenario.drawTargets(r.plan, fault, rng)
 		r.spawn(func() {
-			if !sleep(ctx, x.At) {
+			if !sleep(ctx, fault.At) {
 				return
 			}
-			r.recording.Event(record.Event{Kind: record.Fault, Name: string(x.Kind), Span: x.For})
-			r.injectFault(ctx, x, targets, rng)
+			r.recording.Event(record.Event{Kind: record.Fault, Name: string(fault.Kind), Span: fault.For})
+			r.injectFault(ctx, fault, targets, rng)
 		})
 	}
 }
@@ -432,7 +433,7 @@
 		}
 	}
 	region := func(i int) int { return r.plan.exchanges[i].region }
-	crossing := func(f func(i, j int)) { // for pairs of an affected exchange and one of another region
+	crossing := func(f func(i, j int)) { // calls f for every pair of an affected exchange and one of another region
 		for _, i := range targets {
 			for j := range r.switches {
 				if region(i) != region(j) {
--- a/scenario/scenario.go
+++ b/scenario/scenario.go
@@ -74,11 +74,11 @@
 	Name      string           `yaml:"name"`
 	Share     float64          `yaml:"share"`
 	Category  int              `yaml:"category"`
-	Aim       time.Duration    `yaml:"aim"`
+	Aim       time.Duration    `yaml:"aim"`      // a set-up that is complete later than this earns LateWorth only
 	Patience  time.Duration    `yaml:"patience"` // an unanswered call that does not alert is abandoned after this
 	GiveUp    time.Duration    `yaml:"give_up"`  // a set-up that is complete later than this earns nothing
 	Worth     float64          `yaml:"worth"`
-	LateWorth float64          `yaml:"late_worth"`
+	LateWorth float64          `yaml:"late_worth"` // as a share of Worth
 	Hold      time.Duration    `yaml:"hold"`
 	Ring      time.Duration    `yaml:"ring,omitempty"` // a call that alerts is abandoned after this; 0: a minute
 	Ringing   emulator.Ringing `yaml:"ringing,omitempty"`
@@ -90,7 +90,7 @@
 	Share float64 `yaml:"share"`
 }
 
-// Rules are the limits of the five rules.
+// Rules are the limits of the rules 3 to 5; see check.Violation.
 type Rules struct {
 	Guard      time.Duration `yaml:"guard"`
 	DrainGrace time.Duration `yaml:"drain_grace"`
@@ -115,13 +115,13 @@
 	Replace         FaultKind = "replace"           // switches drain, stop, and are replaced by cold ones at another address
 	Hang            FaultKind = "hang"              // switches accept set-ups and answer none
 	Slow            FaultKind = "slow"              // processors are size times as slow
-	Ageing          FaultKind = "ageing"            // processors slow down to size times, then crash and restart cold
+	Ageing          FaultKind = "ageing"            // processors become gradually size times as slow, then crash and restart cold
 	CircuitsLost    FaultKind = "circuits_lost"     // size: share of the circuits between a region and the others that fails
 	RegionCut       FaultKind = "region_cut"        // the network between a region and the others is interrupted
 	CallsCut        FaultKind = "calls_cut"         // size: share of the established calls that is cut at once
 	ControllerStall FaultKind = "controller_stall"  // controllers stall, like stopped processes
 	MassCalling     FaultKind = "mass_calling"      // size: share of all calls to one number with few lines
-	Impatient       FaultKind = "impatient"         // half of the first tenant's callers abandon after the share size of their time and redial at once
+	Impatient       FaultKind = "impatient"         // half of the first tenant's callers abandon after size times their patience and redial after 200 ms
 	ListLate        FaultKind = "list_late"         // size: seconds by which state updates are delayed
 	ListFlap        FaultKind = "list_flap"         // state updates report healthy exchanges as unavailable and available again
 	AssocReset      FaultKind = "association_reset" // associations of switches are reset
@@ -139,11 +139,11 @@
 // Fault is one injected fault.
 type Fault struct {
 	Kind     FaultKind     `yaml:"kind"`
-	At       time.Duration `yaml:"at"`
+	At       time.Duration `yaml:"at"` // since the start of the scenario
 	For      time.Duration `yaml:"for"`
 	Fraction float64       `yaml:"part,omitempty"` // share of the exchanges that are affected
 	Region   string        `yaml:"region,omitempty"`
-	Size     float64       `yaml:"size,omitempty"`
+	Size     float64       `yaml:"size,omitempty"` // its meaning depends on the kind
 }
 
 // Default returns the values of keys that a scenario file leaves out.
@@ -189,39 +189,41 @@
 
 func (sc *Scenario) check(checker *config.Checker) {
 	span := func(key string, x, from, to time.Duration) {
-		checker.Must(x >= from && x <= to, key, "%v; %v to %v can be", x, from, to)
+		checker.Must(x >= from && x <= to, key, "%v is not in the range of %v to %v", x, from, to)
+	}
+	share := func(key string, x float64) {
+		checker.Must(x >= 0 && x <= 1, key, "%v is not in the range of 0 to 1", x)
 	}
-	share := func(key string, x float64) { checker.Must(x >= 0 && x <= 1, key, "%v; 0 to 1 can be", x) }
 	between := func(key string, x, low, high float64) {
-		checker.Must(x >= low && x <= high, key, "%v; %v to %v can be", x, low, high)
+		checker.Must(x >= low && x <= high, key, "%v is not in the range of %v to %v", x, low, high)
 	}
 	span("length", sc.Length, time.Second, time.Hour)
-	f := sc.Network
-	checker.Must(f.Exchanges >= 2 && f.Exchanges <= 99, "fleet.exchanges", "%d; 2 to 99 can be", f.Exchanges)
-	checker.Must(len(f.Regions) >= 1 && len(f.Regions) <= f.Exchanges, "fleet.regions", "%d regions for %d exchanges", len(f.Regions), f.Exchanges)
-	span("fleet.same_region", f.SameRegionDelay, 0, time.Second)
-	span("fleet.cross_region", f.CrossRegionDelay, 0, time.Second)
-	between("fleet.spare", f.SpareCircuits, 0, 100)
-	between("fleet.missed", f.PlanError, 0, 2)
-	between("fleet.unlinked", f.Unlinked, 0, 0.6)
-	between("fleet.switch.use", f.Switch.Utilisation, 0.01, 1)
-	between("fleet.switch.follow_work", f.Switch.FollowWork, 0, 10)
-	between("fleet.switch.reject_work", f.Switch.RejectWork, 0, 10)
-	between("fleet.switch.repeat_work", f.Switch.RepeatWork, 0, 10)
-	share("fleet.switch.hang_up", f.Switch.HangUp)
-	between("fleet.big", f.BigExchange, 0, 0.95)
-	t := sc.Traffic
-	between("traffic.planned", t.Planned, 0.1, 100000)
-	between("traffic.load", t.Load, 0, 10)
-	share("traffic.swing", t.Swing)
-	checker.Must(t.Redials >= 0 && t.Redials <= 20, "traffic.redials", "%d; 0 to 20 can be", t.Redials)
-	checker.Must(len(t.Classes) > 0, "traffic.classes", "there is none")
+	network := sc.Network
+	checker.Must(network.Exchanges >= 2 && network.Exchanges <= 99, "fleet.exchanges", "%d is not in the range of 2 to 99", network.Exchanges)
+	checker.Must(len(network.Regions) >= 1 && len(network.Regions) <= network.Exchanges, "fleet.regions", "%d regions is not in the range of 1 to %d, the number of exchanges", len(network.Regions), network.Exchanges)
+	span("fleet.same_region", network.SameRegionDelay, 0, time.Second)
+	span("fleet.cross_region", network.CrossRegionDelay, 0, time.Second)
+	between("fleet.spare", network.SpareCircuits, 0, 100)
+	between("fleet.missed", network.PlanError, 0, 2)
+	between("fleet.unlinked", network.Unlinked, 0, 0.6)
+	between("fleet.switch.use", network.Switch.Utilisation, 0.01, 1)
+	between("fleet.switch.follow_work", network.Switch.FollowWork, 0, 10)
+	between("fleet.switch.reject_work", network.Switch.RejectWork, 0, 10)
+	between("fleet.switch.repeat_work", network.Switch.RepeatWork, 0, 10)
+	share("fleet.switch.hang_up", network.Switch.HangUp)
+	between("fleet.big", network.BigExchange, 0, 0.95)
+	traffic := sc.Traffic
+	between("traffic.planned", traffic.Planned, 0.1, 100000)
+	between("traffic.load", traffic.Load, 0, 10)
+	share("traffic.swing", traffic.Swing)
+	checker.Must(traffic.Redials >= 0 && traffic.Redials <= 20, "traffic.redials", "%d is not in the range of 0 to 20", traffic.Redials)
+	checker.Must(len(traffic.Classes) > 0, "traffic.classes", "no class is given")
 	sum, categories := 0.0, map[int]bool{}
-	for i, c := range t.Classes {
+	for i, c := range traffic.Classes {
 		key := func(k string) string { return fmt.Sprintf("traffic.classes[%d].%s", i, k) }
 		share(key("share"), c.Share)
 		sum += c.Share
-		checker.Must(!categories[c.Category] && c.Category >= 0 && c.Category < 256, key("category"), "%d is given twice or is no category", c.Category)
+		checker.Must(!categories[c.Category] && c.Category >= 0 && c.Category < 256, key("category"), "%d is another class's category or not in the range of 0 to 255", c.Category)
 		categories[c.Category] = true
 		span(key("aim"), c.Aim, time.Millisecond, time.Minute)
 		span(key("patience"), c.Patience, 200*time.Millisecond, time.Minute)
@@ -229,7 +231,7 @@
 		span(key("hold"), c.Hold, time.Millisecond, time.Hour)
 		between(key("worth"), c.Worth, 0.001, 1000)
 		share(key("late_worth"), c.LateWorth)
-		checker.Must(c.Patience >= c.Aim, key("patience"), "%v is under the aim of %v", c.Patience, c.Aim)
+		checker.Must(c.Patience >= c.Aim, key("patience"), "%v is below the aim of %v", c.Patience, c.Aim)
 		if c.Ring != 0 {
 			span(key("ring"), c.Ring, time.Second, 10*time.Minute)
 		}
@@ -237,18 +239,18 @@
 			checker.Errorf(key("ringing"), "%v", err)
 		}
 	}
-	checker.Must(sum > 0, "traffic.classes", "the shares add up to nothing")
+	checker.Must(sum > 0, "traffic.classes", "the sum of the shares is not above 0")
 	span("rules.guard", sc.Rules.Guard, 0, time.Minute)
 	span("rules.drain_grace", sc.Rules.DrainGrace, 0, time.Minute)
 	between("rules.cold.share", sc.Rules.ColdStart.Share, 0.01, 1)
 	between("rules.cold.multiple", sc.Rules.ColdStart.Multiple, 1, 100)
 	for i, x := range sc.Faults {
 		key := func(k string) string { return fmt.Sprintf("troubles[%d].%s", i, k) }
-		checker.Must(slices.Contains(FaultKinds, x.Kind), key("kind"), "%q; it can be one of %v", x.Kind, FaultKinds)
+		checker.Must(slices.Contains(FaultKinds, x.Kind), key("kind"), "%q is not one of %v", x.Kind, FaultKinds)
 		span(key("at"), x.At, 0, sc.Length)
 		span(key("for"), x.For, 0, time.Hour)
 		share(key("part"), x.Fraction)
-		checker.Must(x.Region == "" || slices.Contains(f.Regions, x.Region), key("region"), "there is no region %q", x.Region)
+		checker.Must(x.Region == "" || slices.Contains(network.Regions, x.Region), key("region"), "%q is not one of fleet.regions", x.Region)
 		switch x.Kind {
 		case LoadJump, Slow, Ageing, ClientFlood:
 			between(key("size"), x.Size, 1, 100)
@@ -276,11 +278,13 @@
 	destinationShares [][]float64 // share of an exchange's calls by destination
 }
 
-// randomSource returns a random source for one purpose, so that a change to one purpose leaves the others' values unchanged.
+// randomSource returns the random source for a purpose. Each purpose has its own, so that a change to its draws leaves the others' as
+// they are.
 func (sc *Scenario) randomSource(purpose uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(sc.Seed, purpose))
 }
 
+// Purposes of random sources.
 const (
 	purposePlan = iota + 1
 	purposeArrivals
@@ -291,28 +295,29 @@
 
 func (sc *Scenario) plan() *plan {
 	rng := sc.randomSource(purposePlan)
-	f, t := sc.Network, sc.Traffic
-	n := f.Exchanges
+	network, traffic := sc.Network, sc.Traffic
+	n := network.Exchanges
 	p := &plan{originShares: make([]float64, n), destinationShares: make([][]float64, n)}
+	// logNormal draws from a log-normal distribution with mean 1 and a coefficient of variation.
 	logNormal := func(cv float64) float64 {
 		s := math.Sqrt(math.Log(1 + cv*cv))
 		return math.Exp(s*rng.NormFloat64() - s*s/2)
 	}
 	for i := range n {
-		p.exchanges = append(p.exchanges, &exchange{pointCode: uint32(101 + i), region: i * len(f.Regions) / n, prefix: fmt.Sprintf("82%02d", i), circuits: map[uint32]int{}})
+		p.exchanges = append(p.exchanges, &exchange{pointCode: uint32(101 + i), region: i * len(network.Regions) / n, prefix: fmt.Sprintf("82%02d", i), circuits: map[uint32]int{}})
 		p.originShares[i] = logNormal(0.2)
 	}
 	total := 0.0
 	for _, s := range p.originShares {
 		total += s
 	}
-	if f.BigExchange > 0 { // one large exchange among small ones
+	if network.BigExchange > 0 { // one large exchange among small ones
 		othersTotal := total - p.originShares[0]
-		p.originShares[0] = f.BigExchange / (1 - f.BigExchange) * othersTotal
+		p.originShares[0] = network.BigExchange / (1 - network.BigExchange) * othersTotal
 		total = othersTotal + p.originShares[0]
 	}
-	hold, shares := 0.0, 0.0
-	for _, c := range t.Classes {
+	hold, shares := 0.0, 0.0 // hold becomes the mean holding time of a circuit, in seconds
+	for _, c := range traffic.Classes {
 		// Ringing occupies the circuits too; the mean of a log-normal distribution is above its median.
 		ring := c.Ringing.Median.Seconds() * math.Exp(c.Ringing.Spread*c.Ringing.Spread/2)
 		ring = ring*(1-c.Ringing.NoAnswer-c.Ringing.Busy) + c.ringLimit().Seconds()*c.Ringing.NoAnswer
@@ -337,7 +342,7 @@
 			p.destinationShares[i][j] /= sum
 		}
 	}
-	type groupPlan struct {
+	type groupPlan struct { // the trunk group between exchanges i and j
 		i, j        int
 		plannedLoad float64
 	}
@@ -345,21 +350,21 @@
 	for i := range n {
 		incomingRate := 0.0
 		for j := range n {
-			incomingRate += t.Planned * p.originShares[j] * p.destinationShares[j][i]
+			incomingRate += traffic.Planned * p.originShares[j] * p.destinationShares[j][i]
 			if j > i {
-				offeredLoad := hold * t.Planned * (p.originShares[i]*p.destinationShares[i][j] + p.originShares[j]*p.destinationShares[j][i])
-				groups = append(groups, groupPlan{i, j, offeredLoad * logNormal(f.PlanError)})
+				offeredLoad := hold * traffic.Planned * (p.originShares[i]*p.destinationShares[i][j] + p.originShares[j]*p.destinationShares[j][i])
+				groups = append(groups, groupPlan{i, j, offeredLoad * logNormal(network.PlanError)})
 			}
 		}
 		// Each call costs the processor a set-up, an answer and a release.
-		p.exchanges[i].setUpRate = incomingRate * (1 + 2*f.Switch.FollowWork) / f.Switch.Utilisation
+		p.exchanges[i].setUpRate = incomingRate * (1 + 2*network.Switch.FollowWork) / network.Switch.Utilisation
 	}
 	slices.SortFunc(groups, func(a, b groupPlan) int { return cmp.Compare(a.plannedLoad, b.plannedLoad) })
 	for k, group := range groups {
-		if k < int(f.Unlinked*float64(len(groups))) && n > 3 { // the pairs with the least load; up to three exchanges every pair is needed for tandem routes
+		if k < int(network.Unlinked*float64(len(groups))) && n > 3 { // the pairs with the least load; up to three exchanges every pair is needed for tandem routes
 			continue
 		}
-		size := max(2, int(math.Ceil(group.plannedLoad+f.SpareCircuits*math.Sqrt(group.plannedLoad))))
+		size := max(2, int(math.Ceil(group.plannedLoad+network.SpareCircuits*math.Sqrt(group.plannedLoad))))
 		size = min(size, isup.MaxCIC)
 		p.exchanges[group.i].circuits[p.exchanges[group.j].pointCode] = size
 		p.exchanges[group.j].circuits[p.exchanges[group.i].pointCode] = size
@@ -389,7 +394,7 @@
 	return candidates
 }
 
-// hasRinging tells whether numbers of the class ring before they answer.
+// hasRinging reports whether numbers of the class ring before they answer.
 func (c *Class) hasRinging() bool { return c.Ringing != emulator.Ringing{} }
 
 // ringLimit is how long callers of the class let a call ring.
@@ -417,7 +422,7 @@
 // arrivals draws all calls of the scenario, as a Poisson process with a varying rate.
 func (sc *Scenario) arrivals(p *plan) []arrival {
 	rng := sc.randomSource(purposeArrivals)
-	t := sc.Traffic
+	traffic := sc.Traffic
 	pick := func(weights []float64) int {
 		sum := 0.0
 		for _, w := range weights {
@@ -431,18 +436,18 @@
 		}
 		return len(weights) - 1
 	}
-	classes := make([]float64, len(t.Classes))
-	for i, c := range t.Classes {
+	classes := make([]float64, len(traffic.Classes))
+	for i, c := range traffic.Classes {
 		classes[i] = c.Share
 	}
 	tenants := []float64{1}
-	if len(t.Tenants) > 0 {
+	if len(traffic.Tenants) > 0 {
 		tenants = nil
-		for _, x := range t.Tenants {
+		for _, x := range traffic.Tenants {
 			tenants = append(tenants, x.Share)
 		}
 	}
-	massClass := max(0, slices.IndexFunc(t.Classes, func(c Class) bool { return c.Name == "mass" }))
+	massClass := max(0, slices.IndexFunc(traffic.Classes, func(c Class) bool { return c.Name == "mass" }))
 	destinationShares := make([][]float64, len(p.destinationShares))
 	drift := func() {
 		for i := range destinationShares {
@@ -457,7 +462,7 @@
 	var out []arrival
 	phase := rng.Float64() * 2 * math.Pi
 	for at := time.Duration(0); ; {
-		rate := t.Planned * t.Load * (1 + t.Swing*math.Sin(phase+2*math.Pi*at.Seconds()/20))
+		rate := traffic.Planned * traffic.Load * (1 + traffic.Swing*math.Sin(phase+2*math.Pi*at.Seconds()/20))
 		massShare, impatient, impatientSize, floodRate := 0.0, false, 0.0, 0.0
 		for _, x := range sc.Faults {
 			if at < x.At || at >= x.At+x.For {
@@ -483,11 +488,11 @@
 		if at >= sc.Length {
 			return out
 		}
-		if t.Drift > 0 && at >= nextDrift {
-			nextDrift += t.Drift
+		if traffic.Drift > 0 && at >= nextDrift {
+			nextDrift += traffic.Drift
 			drift()
 		}
-		a := arrival{at: at, from: pick(p.originShares), class: pick(classes), tenant: pick(tenants), redials: t.Redials, redialAfter: t.RedialAfter,
+		a := arrival{at: at, from: pick(p.originShares), class: pick(classes), tenant: pick(tenants), redials: traffic.Redials, redialAfter: traffic.RedialAfter,
 			calling: fmt.Sprintf("90%06d", len(out))}
 		if floodRate > 0 && rng.Float64() > ordinaryRate/rate {
 			a.tenant, a.redials = 0, 0
@@ -501,7 +506,7 @@
 			}
 			a.redials, a.redialAfter = 3, 300*time.Millisecond
 		}
-		classSpec := t.Classes[a.class]
+		classSpec := traffic.Classes[a.class]
 		a.patience = classSpec.Patience
 		if impatient && a.tenant == 0 && rng.Float64() < 0.5 {
 			a.patience = max(150*time.Millisecond, time.Duration(impatientSize*float64(classSpec.Patience)))
--- a/script/lint.go
+++ b/script/lint.go
@@ -10,7 +10,8 @@
 // assumedListLen is the length that cost estimates assume for a list of unknown length: the maximum.
 const assumedListLen = maxListLen
 
-// computeCosts estimates the worst-case steps of each hook from its source: loops by their literal bounds or list lengths.
+// computeCosts estimates the worst-case steps of each hook from its source. Loops count as often as their literal bounds or the
+// length of their list say.
 func (g *generator) computeCosts(order []*fnDecl) {
 	known := map[*fnDecl]int{}
 	var fn func(d *fnDecl) int
@@ -185,7 +186,7 @@
 	for i, d := range g.checked.hooks {
 		switch h := g.p.Hooks[i]; {
 		case h.Cost == unbounded:
-			warn(d.pos, "how many steps this hook takes depends on values; it is stopped after %d", h.Steps)
+			warn(d.pos, "how many steps this hook takes depends on values; it is stopped after %d steps", h.Steps)
 		case h.Cost > h.Steps:
 			warn(d.pos, "this hook may take %d steps; it is stopped after %d", h.Cost, h.Steps)
 		}
